--- a/decisions/src/main/java/spanrill/decisions/AbuseLimiter.java
+++ b/decisions/src/main/java/spanrill/decisions/AbuseLimiter.java
@@ -22,12 +22,12 @@
     private double countedAt = Double.NEGATIVE_INFINITY;
 
     /** A set-up came that can't be used; true when the connection is abused. */
-    public boolean rejected(double now) {
+    public boolean chargeRejectedSetUp(double now) {
         return spend(now, 1);
     }
 
     /** A message of so many bytes came that asks for nothing; true when the connection is abused. */
-    public boolean free(double now, int bytes) {
+    public boolean chargeMessage(double now, int bytes) {
         return spend(now, bytes / LARGEST_MESSAGE_BYTES);
     }
 
--- a/decisions/src/main/java/spanrill/decisions/AdmissionQueue.java
+++ b/decisions/src/main/java/spanrill/decisions/AdmissionQueue.java
@@ -53,7 +53,7 @@
     }
 
     /** One comes. Gives who is shed by that, the comer included; empty when all may wait. */
-    public List<T> come(double now, T who, double deadline, double worth) {
+    public List<T> enqueue(double now, T who, double deadline, double worth) {
         List<T> shed = new ArrayList<>();
         if (now + serviceMs > deadline) {
             shed.add(who);
@@ -61,7 +61,7 @@
         }
         Waiting<T> waiting = new Waiting<>(who, deadline, worth, orders++);
         if (all.putIfAbsent(who, waiting) != null) {
-            throw new RuleFault("one waits twice");
+            throw new IllegalTransitionException("one waits twice");
         }
         byDeadline.add(waiting);
         byWorth.add(waiting);
@@ -77,7 +77,7 @@
      * A server is free: who is next, or null. Those who can't be served in time any more are put on {@code
      * shed}.
      */
-    public T next(double now, List<T> shed) {
+    public T poll(double now, List<T> shed) {
         while (!byDeadline.isEmpty()) {
             Waiting<T> first = byDeadline.first();
             remove(first);
@@ -90,7 +90,7 @@
     }
 
     /** One left by itself: it is neither served nor shed. */
-    public boolean left(T who) {
+    public boolean cancel(T who) {
         Waiting<T> waiting = all.get(who);
         if (waiting == null) {
             return false;
@@ -106,12 +106,12 @@
     }
 
     /** One was served. */
-    public void served(double tookMs) {
+    public void recordServiceTime(double tookMs) {
         serviceMs += WEIGHT * (Math.max(0.001, tookMs) - serviceMs);
     }
 
     /** How long one who comes now would wait if nobody left, in milliseconds. */
-    public double waitMs() {
+    public double estimatedWaitMs() {
         return all.size() * serviceMs / servers;
     }
 
--- a/decisions/src/main/java/spanrill/decisions/Backoff.java
+++ b/decisions/src/main/java/spanrill/decisions/Backoff.java
@@ -20,14 +20,14 @@
     }
 
     /** It failed: the wait before the next try, in milliseconds. */
-    public double failed() {
+    public double nextDelayMs() {
         double whole = Math.min(mostMs, leastMs * Math.pow(2, Math.min(failures, 40)));
         failures++;
         return whole * (0.5 + random.nextDouble() / 2);
     }
 
     /** It answered. */
-    public void succeeded() {
+    public void reset() {
         failures = 0;
     }
 
--- a/decisions/src/main/java/spanrill/decisions/BoxBook.java
+++ b/decisions/src/main/java/spanrill/decisions/BoxDirectory.java
@@ -15,7 +15,7 @@
  * that doesn't fit is dropped and the whole is asked for. Versions are per epoch of the registry: a registry
  * that starts anew counts from the start, and only a whole list brings its new epoch in.
  */
-public final class BoxBook {
+public final class BoxDirectory {
     /**
      * A box with where it is reached.
      *
@@ -34,7 +34,7 @@
      * @param version version that it leads to
      * @param boxes the boxes that it names
      */
-    public record Sheet(ListKind kind, long epoch, long base, long version, List<Box> boxes) {}
+    public record ListUpdate(ListKind kind, long epoch, long base, long version, List<Box> boxes) {}
 
     private final Map<String, Box> boxes = new LinkedHashMap<>();
     private final int most;
@@ -42,7 +42,7 @@
     private long version = -1;
 
     /** Holds at most so many boxes. */
-    public BoxBook(int most) {
+    public BoxDirectory(int most) {
         this.most = most;
     }
 
@@ -52,7 +52,7 @@
      * @return the servers to tell the module, with the kind of list that it came as, or null when it doesn't
      *     fit and the whole must be asked for
      */
-    public List<Server> take(Sheet sheet) {
+    public List<Server> apply(ListUpdate sheet) {
         if (sheet.kind() == ListKind.CHANGES
                 && (sheet.epoch() != epoch || sheet.base() != version || sheet.version() < version)) {
             version = -1;
@@ -92,14 +92,14 @@
     }
 
     /** All boxes that are not gone. */
-    public List<Box> listed() {
+    public List<Box> activeBoxes() {
         return boxes.values().stream()
                 .filter(b -> b.server().state() != ServerState.GONE)
                 .toList();
     }
 
     /** Drops boxes that are gone and hold nothing any more. */
-    public void forget(String id) {
+    public void removeIfGone(String id) {
         Box box = boxes.get(id);
         if (box != null && box.server().state() == ServerState.GONE) {
             boxes.remove(id);
--- a/decisions/src/main/java/spanrill/decisions/BoxWatch.java
+++ b/decisions/src/main/java/spanrill/decisions/BoxProcessMonitor.java
@@ -6,21 +6,21 @@
  * once, since whether somebody still answers there decides if sessions are lost; one that tells nothing, or
  * can't be had, is tried with growing waits, so that a sick box costs little.
  */
-public final class BoxWatch {
+public final class BoxProcessMonitor {
     /**
      * What follows.
      *
-     * @param lost why the sessions of the box are lost, or null when they may live
-     * @param openAfterMs open the stream again after this; negative: don't, nothing plays there
+     * @param lostReason why the sessions of the box are lost, or null when they may live
+     * @param reopenDelayMs open the stream again after this; negative: don't, nothing plays there
      */
-    public record Next(SessionEnd lost, double openAfterMs) {}
+    public record Reaction(SessionEnd lostReason, double reopenDelayMs) {}
 
     private final Backoff backoff;
     private double process = Double.NaN;
     private boolean told;
 
     /** Waits between tries from {@code leastMs} to {@code mostMs}, drawn by the seed. */
-    public BoxWatch(double leastMs, double mostMs, long seed) {
+    public BoxProcessMonitor(double leastMs, double mostMs, long seed) {
         backoff = new Backoff(leastMs, mostMs, seed);
     }
 
@@ -30,16 +30,16 @@
      * @param id tells one process of the box from another
      * @return why the sessions set up before are lost, or null
      */
-    public SessionEnd hello(double id) {
+    public SessionEnd onHello(double id) {
         SessionEnd lost = !Double.isNaN(process) && process != id ? SessionEnd.BOX_RESTARTED : null;
         process = id;
         return lost;
     }
 
     /** Something came on the stream. */
-    public void told() {
+    public void onData() {
         told = true;
-        backoff.succeeded();
+        backoff.reset();
     }
 
     /**
@@ -47,15 +47,15 @@
      *
      * @param playsAfter true when, those sessions lost, some are still set up or played there
      */
-    public Next unreachable(boolean playsAfter) {
+    public Reaction onUnreachable(boolean playsAfter) {
         told = false;
-        return new Next(SessionEnd.BOX_GONE, playsAfter ? backoff.failed() : -1);
+        return new BoxProcessMonitor.Reaction(SessionEnd.BOX_GONE, playsAfter ? backoff.nextDelayMs() : -1);
     }
 
     /** The stream broke. {@code plays}: sessions are set up or played there. */
-    public Next broken(boolean plays) {
+    public Reaction onStreamBroken(boolean plays) {
         boolean atOnce = told;
         told = false;
-        return new Next(null, !plays ? -1 : atOnce ? 0 : backoff.failed());
+        return new BoxProcessMonitor.Reaction(null, !plays ? -1 : atOnce ? 0 : backoff.nextDelayMs());
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/CallOffProof.java
+++ b/decisions/src/main/java/spanrill/decisions/CancellationProof.java
@@ -10,11 +10,11 @@
  *
  * <p>Both times are durations on clocks of their own, so no two clocks are compared.
  */
-public final class CallOffProof {
+public final class CancellationProof {
     /** A process must be older than the attempt by so much: durations are read at both ends of a wire. */
     private static final double SLACK_MS = 50;
 
-    private CallOffProof() {}
+    private CancellationProof() {}
 
     /**
      * Reads the answer.
@@ -23,7 +23,7 @@
      * @param upMs how long the box's process has been up, NaN when it doesn't say
      * @param sinceSentMs how long ago the attempt was sent
      */
-    public static boolean neverRan(Boolean ran, double upMs, double sinceSentMs) {
+    public static boolean provesNeverRan(Boolean ran, double upMs, double sinceSentMs) {
         return Boolean.FALSE.equals(ran) && upMs >= sinceSentMs + SLACK_MS;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/ClientConnectionState.java
+++ b/decisions/src/main/java/spanrill/decisions/ClientConnectionState.java
@@ -23,7 +23,7 @@
     }
 
     /** What becomes of a request that arrives now. */
-    public enum Intake {
+    public enum RequestHandling {
         /** It is served. */
         SERVE,
         /** It is refused with a cause that makes trying again harmless. */
@@ -37,9 +37,9 @@
         /** Nothing. */
         NONE,
         /** Fail the requests that are open on it. */
-        FAIL_OPEN,
+        FAIL_OPEN_REQUESTS,
         /** Read what has arrived, then ask again: a request that lies unread is not to cross the end. */
-        READ_FIRST,
+        READ_INPUT,
         /** Shut the output down: all answers have been flushed. */
         SHUT_DOWN_OUTPUT,
         /** Close the socket. */
@@ -54,16 +54,16 @@
      * @param unflushed true while bytes lie in buffers of this process
      * @param awaitingRequest true when a request is under way: its message has begun, or the connection is
      *     so new that its first request can't have come
-     * @param written true when anything was ever written to it
-     * @param inputRead true when all that had arrived a moment ago has been read
+     * @param anythingWritten true when anything was ever written to it
+     * @param inputDrained true when all that had arrived a moment ago has been read
      */
     public record View(
             int openRequests,
             boolean releasesPending,
             boolean unflushed,
             boolean awaitingRequest,
-            boolean written,
-            boolean inputRead) {}
+            boolean anythingWritten,
+            boolean inputDrained) {}
 
     /** A client that has seen the end of the output closes within a round trip; slow ones get this long. */
     private static final double LINGER_MS = 500;
@@ -89,11 +89,11 @@
     }
 
     /** What becomes of a request that arrives now. */
-    public Intake intake() {
+    public RequestHandling requestHandling() {
         return switch (phase) {
-            case OPEN -> Intake.SERVE;
-            case DRAINING -> reason.readable() ? Intake.REFUSE : Intake.DISCARD;
-            case CLOSING, CLOSED -> Intake.DISCARD;
+            case OPEN -> RequestHandling.SERVE;
+            case DRAINING -> reason.readable() ? RequestHandling.REFUSE : RequestHandling.DISCARD;
+            case CLOSING, CLOSED -> RequestHandling.DISCARD;
         };
     }
 
@@ -108,8 +108,8 @@
     }
 
     /** Begins to end the connection, with the time for open requests that the reason states. */
-    public void drain(double now, CloseReason why) {
-        drain(now, why, why.drainMs());
+    public void startDrain(double now, CloseReason why) {
+        startDrain(now, why, why.drainMs());
     }
 
     /**
@@ -117,7 +117,7 @@
      *
      * @param drainMs how long open requests may wait for their answers before they are failed
      */
-    public void drain(double now, CloseReason why, double drainMs) {
+    public void startDrain(double now, CloseReason why, double drainMs) {
         if (phase == Phase.OPEN) {
             phase = Phase.DRAINING;
             reason = why;
@@ -127,12 +127,12 @@
     }
 
     /** Input of this many bytes was discarded while closing. */
-    public void discarded(long bytes) {
+    public void onDiscarded(long bytes) {
         discardedBytes += bytes;
     }
 
     /** The connection has ended: by the client, by a failure, or as {@link Step#CLOSE} asked. */
-    public void closed(CloseReason why) {
+    public void onClosed(CloseReason why) {
         phase = Phase.CLOSED;
         if (reason == null) {
             reason = why;
@@ -140,7 +140,7 @@
     }
 
     /** What to do now; to be asked after each event on the connection and now and then. */
-    public Step next(double now, View view) {
+    public Step nextStep(double now, View view) {
         return switch (phase) {
             case OPEN, CLOSED -> Step.NONE;
             case DRAINING -> nextWhileDraining(now, view);
@@ -153,16 +153,16 @@
             return Step.CLOSE;
         }
         if (view.openRequests() > 0) {
-            return now >= failAt ? Step.FAIL_OPEN : Step.NONE;
+            return now >= failAt ? Step.FAIL_OPEN_REQUESTS : Step.NONE;
         }
         boolean waits = reason == CloseReason.SHUTDOWN && (view.releasesPending() || view.awaitingRequest());
         if (view.unflushed() || (waits && now < failAt)) {
             return Step.NONE;
         }
-        if (!view.inputRead()) {
-            return Step.READ_FIRST;
+        if (!view.inputDrained()) {
+            return Step.READ_INPUT;
         }
-        if (!view.written()) {
+        if (!view.anythingWritten()) {
             // No answer is on its way that a reset could destroy.
             return Step.CLOSE;
         }
--- a/decisions/src/main/java/spanrill/decisions/ConnectionBudget.java
+++ b/decisions/src/main/java/spanrill/decisions/ConnectionBudget.java
@@ -15,8 +15,8 @@
         this.most = most;
     }
 
-    /** One came: true when it may stay, and must be told {@link #closed} later. */
-    public boolean opened() {
+    /** One came: true when it may stay, and must be told {@link #onClosed} later. */
+    public boolean tryOpen() {
         if (open >= most) {
             turnedAway++;
             return false;
@@ -26,9 +26,9 @@
     }
 
     /** One that was let in is closed. */
-    public void closed() {
+    public void onClosed() {
         if (open == 0) {
-            throw new RuleFault("a connection closed that was never let in");
+            throw new IllegalTransitionException("a connection closed that was never let in");
         }
         open--;
     }
@@ -44,7 +44,7 @@
     }
 
     /** At most so many. */
-    public int most() {
+    public int limit() {
         return most;
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** Turned away so far. */
-    public long turnedAway() {
+    public long rejected() {
         return turnedAway;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/ConnectionEviction.java
+++ b/decisions/src/main/java/spanrill/decisions/ConnectionEviction.java
@@ -13,24 +13,24 @@
     private ConnectionEviction() {}
 
     /** What has come on a connection so far. */
-    public enum Brought {
+    public enum Activity {
         /** Nothing that could be used. */
-        NOTHING,
+        NOTHING_USEFUL,
         /** A test, or a set-up that was not served. */
-        LITTLE,
+        NOT_SERVED,
         /** A viewer was served on it. */
-        SERVICE
+        SERVED
     }
 
     /**
      * A connection that may have to go.
      *
-     * @param waiting set-ups open on it
-     * @param standing sessions that were set up on it and stand: their end is told on it
-     * @param brought what came on it
-     * @param quietMs time since something useful came on it, or since it was accepted
+     * @param openSetUps set-ups open on it
+     * @param activeSessions sessions that were set up on it and stand: their end is told on it
+     * @param activity what came on it
+     * @param idleMs time since something useful came on it, or since it was accepted
      */
-    public record Held(int waiting, int standing, Brought brought, double quietMs) {}
+    public record Candidate(int openSetUps, int activeSessions, Activity activity, double idleMs) {}
 
     /**
      * Who makes place for a new connection. First those that have had time to ask and did not, then those
@@ -38,20 +38,20 @@
      * equals the longest quiet. Never one on which somebody waits or a session stands, nor the viewers'
      * connection used last: what ends must be told on one, and strangers in a crowd would cost viewers it.
      */
-    public static int toClose(List<Held> held) {
+    public static int chooseVictim(List<Candidate> held) {
         int keep = NONE;
         for (int i = 0; i < held.size(); i++) {
-            if (held.get(i).brought() == Brought.SERVICE
-                    && (keep == NONE || held.get(i).quietMs() < held.get(keep).quietMs())) {
+            if (held.get(i).activity() == Activity.SERVED
+                    && (keep == NONE || held.get(i).idleMs() < held.get(keep).idleMs())) {
                 keep = i;
             }
         }
         int chosen = NONE;
         for (int i = 0; i < held.size(); i++) {
-            Held one = held.get(i);
+            Candidate one = held.get(i);
             if (i != keep
-                    && one.waiting() == 0
-                    && one.standing() == 0
+                    && one.openSetUps() == 0
+                    && one.activeSessions() == 0
                     && (chosen == NONE || before(one, held.get(chosen)))) {
                 chosen = i;
             }
@@ -59,26 +59,26 @@
         return chosen;
     }
 
-    private static boolean before(Held one, Held other) {
+    private static boolean before(Candidate one, Candidate other) {
         int byTurn = Integer.compare(turn(one), turn(other));
-        return byTurn != 0 ? byTurn < 0 : one.quietMs() > other.quietMs();
+        return byTurn != 0 ? byTurn < 0 : one.idleMs() > other.idleMs();
     }
 
-    private static int turn(Held one) {
-        return switch (one.brought()) {
-            case NOTHING -> one.quietMs() >= YOUNG_MS ? 0 : 3;
-            case LITTLE -> 1;
-            case SERVICE -> 2;
+    private static int turn(Candidate one) {
+        return switch (one.activity()) {
+            case NOTHING_USEFUL -> one.idleMs() >= YOUNG_MS ? 0 : 3;
+            case NOT_SERVED -> 1;
+            case SERVED -> 2;
         };
     }
 
     /**
      * A connection that may take what is owed.
      *
-     * @param reaches true when viewers are served on it and it can be written to
-     * @param usefulAt when something useful came on it last, ms
+     * @param usable true when viewers are served on it and it can be written to
+     * @param lastUsefulAt when something useful came on it last, ms
      */
-    public record Way(boolean reaches, double usefulAt) {}
+    public record Route(boolean usable, double lastUsefulAt) {}
 
     /**
      * The one on which something useful came last, but not the one given last time while there is another:
@@ -86,18 +86,18 @@
      *
      * @param last index of the one given last time, or {@link #NONE}
      */
-    public static int toTell(List<Way> ways, int last) {
+    public static int chooseRoute(List<Route> ways, int last) {
         int best = NONE;
         int second = NONE;
         for (int i = 0; i < ways.size(); i++) {
-            if (!ways.get(i).reaches()) {
+            if (!ways.get(i).usable()) {
                 continue;
             }
-            if (best == NONE || ways.get(i).usefulAt() > ways.get(best).usefulAt()) {
+            if (best == NONE || ways.get(i).lastUsefulAt() > ways.get(best).lastUsefulAt()) {
                 second = best;
                 best = i;
             } else if (second == NONE
-                    || ways.get(i).usefulAt() > ways.get(second).usefulAt()) {
+                    || ways.get(i).lastUsefulAt() > ways.get(second).lastUsefulAt()) {
                 second = i;
             }
         }
--- a/decisions/src/main/java/spanrill/decisions/ConnectionSelector.java
+++ b/decisions/src/main/java/spanrill/decisions/ConnectionSelector.java
@@ -9,9 +9,9 @@
  */
 public final class ConnectionSelector {
     /** Open a new connection. */
-    public static final int NEW = -1;
+    public static final int OPEN_NEW = -1;
     /** None may be opened and none can be shared. */
-    public static final int NONE = -2;
+    public static final int NONE_AVAILABLE = -2;
 
     private final double idleMostMs;
     private final int mostOnOne;
@@ -30,33 +30,34 @@
     /**
      * A connection as it stands.
      *
-     * @param open set-ups open on it
+     * @param openSetUps set-ups open on it
      * @param idleMs time since its last set-up or answer
      * @param usable connected or connecting, and nothing spoilt or overdue was seen on it
      */
-    public record Link(int open, double idleMs, boolean usable) {}
+    public record Connection(int openSetUps, double idleMs, boolean usable) {}
 
-    /** Index of the connection to use, {@link #NEW} or {@link #NONE}. */
-    public int choose(List<Link> links, boolean mayOpen) {
-        int free = NONE;
-        int shared = NONE;
+    /** Index of the connection to use, {@link #OPEN_NEW} or {@link #NONE_AVAILABLE}. */
+    public int select(List<Connection> links, boolean mayOpen) {
+        int free = NONE_AVAILABLE;
+        int shared = NONE_AVAILABLE;
         for (int i = 0; i < links.size(); i++) {
-            Link link = links.get(i);
+            Connection link = links.get(i);
             if (!link.usable() || link.idleMs() > idleMostMs) {
                 continue;
             }
             // The one used last is the least likely to have been closed unseen.
-            if (link.open() == 0 && (free < 0 || link.idleMs() < links.get(free).idleMs())) {
+            if (link.openSetUps() == 0
+                    && (free < 0 || link.idleMs() < links.get(free).idleMs())) {
                 free = i;
             }
-            if (link.open() < mostOnOne
-                    && (shared < 0 || link.open() < links.get(shared).open())) {
+            if (link.openSetUps() < mostOnOne
+                    && (shared < 0 || link.openSetUps() < links.get(shared).openSetUps())) {
                 shared = i;
             }
         }
         if (free >= 0) {
             return free;
         }
-        return mayOpen ? NEW : shared;
+        return mayOpen ? OPEN_NEW : shared;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/ConnectionTimeouts.java
+++ b/decisions/src/main/java/spanrill/decisions/ConnectionTimeouts.java
@@ -21,28 +21,33 @@
      * A connection as it stands.
      *
      * @param ageMs time since it was accepted
-     * @param quietMs time since the last useful message on it
+     * @param idleMs time since the last useful message on it
      * @param openRequests requests open on it
-     * @param standing sessions that were set up on it and stand
-     * @param proven true when something useful came on it: a set-up that could be used, or a test
-     * @param messageMs time since a message began that is not complete, 0 where there is none
+     * @param activeSessions sessions that were set up on it and stand
+     * @param everUseful true when something useful came on it: a set-up that could be used, or a test
+     * @param partialMessageMs time since a message began that is not complete, 0 where there is none
      */
     public record View(
-            double ageMs, double quietMs, int openRequests, int standing, boolean proven, double messageMs) {}
+            double ageMs,
+            double idleMs,
+            int openRequests,
+            int activeSessions,
+            boolean everUseful,
+            double partialMessageMs) {}
 
     /** Why the connection has to end now, if it has to. */
-    public static Optional<CloseReason> expired(View view) {
+    public static Optional<CloseReason> expiryReason(View view) {
         if (view.openRequests() > 0) {
             return Optional.empty();
         }
-        if (view.messageMs() >= MESSAGE_MS) {
+        if (view.partialMessageMs() >= MESSAGE_MS) {
             return Optional.of(CloseReason.MESSAGE_INCOMPLETE);
         }
-        double uselessMs = Math.min(view.ageMs(), view.quietMs());
-        if (!view.proven() && uselessMs >= (view.messageMs() > 0 ? MESSAGE_MS : NOTHING_USEFUL_MS)) {
+        double uselessMs = Math.min(view.ageMs(), view.idleMs());
+        if (!view.everUseful() && uselessMs >= (view.partialMessageMs() > 0 ? MESSAGE_MS : NOTHING_USEFUL_MS)) {
             return Optional.of(CloseReason.NOTHING_USEFUL);
         }
-        boolean idle = view.standing() == 0 && view.messageMs() == 0 && view.quietMs() >= IDLE_MS;
+        boolean idle = view.activeSessions() == 0 && view.partialMessageMs() == 0 && view.idleMs() >= IDLE_MS;
         return idle ? Optional.of(CloseReason.IDLE) : Optional.empty();
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/WatchRetryPolicy.java
+++ b/decisions/src/main/java/spanrill/decisions/DiscoveryRetryPolicy.java
@@ -5,7 +5,7 @@
  * comments (one a second) allow. What it would have told counts as told 2 s after a break and 4 s after a
  * stop, so the waits stay well within those.
  */
-public final class WatchRetryPolicy {
+public final class DiscoveryRetryPolicy {
     private static final double LEAST_MS = 60;
     private static final double MOST_MS = 600;
     private static final double SILENT_MS = 2200;
@@ -24,12 +24,12 @@
     private boolean brokeOnce;
 
     /** Waits are drawn from the seed. */
-    public WatchRetryPolicy(long seed) {
+    public DiscoveryRetryPolicy(long seed) {
         backoff = new Backoff(LEAST_MS, MOST_MS, seed);
     }
 
     /** It is being asked. */
-    public void asked(double now) {
+    public void onRequest(double now) {
         askedAt = now;
         answeredAt = Double.NaN;
         heardAt = Double.NaN;
@@ -37,26 +37,26 @@
     }
 
     /** Its answer has begun. */
-    public void answered(double now) {
+    public void onResponse(double now) {
         answeredAt = now;
     }
 
     /** Something came: an event, a part of one, or a comment. */
-    public void heard(double now) {
+    public void onData(double now) {
         heardAt = now;
-        backoff.succeeded();
+        backoff.reset();
     }
 
     /** It can't be had, has ended, or told what can't be read. */
-    public void broken(double now) {
+    public void onFailure(double now) {
         brokeOnce = true;
         if (Double.isNaN(againAt)) {
-            againAt = now + backoff.failed();
+            againAt = now + backoff.nextDelayMs();
         }
     }
 
     /** True when it is to be asked again now. */
-    public boolean due(double now) {
+    public boolean isRetryDue(double now) {
         if (!Double.isNaN(againAt)) {
             return now >= againAt;
         }
@@ -67,7 +67,7 @@
      * True when what was told before a start is known, as far as it can be had: it counts for a node that has
      * yet to ask. A node serves viewers from then on.
      */
-    public boolean caughtUp(double now) {
+    public boolean isCaughtUp(double now) {
         return brokeOnce
                 || now - askedAt >= ANSWER_MS
                 || now - heardAt >= PAUSE_MS
--- a/decisions/src/main/java/spanrill/decisions/ExpiringMap.java
+++ b/decisions/src/main/java/spanrill/decisions/ExpiringMap.java
@@ -24,7 +24,7 @@
     }
 
     /** It is over now. */
-    public void over(double now, String id, T what) {
+    public void put(double now, String id, T what) {
         all.remove(id);
         all.put(id, new Kept<>(what, now + keptMs));
         drop(now);
@@ -38,7 +38,7 @@
     }
 
     /** The same, and it is kept no longer. */
-    public T take(double now, String id) {
+    public T remove(double now, String id) {
         T what = get(now, id);
         all.remove(id);
         return what;
--- a/decisions/src/main/java/spanrill/decisions/LostSetUp.java
+++ b/decisions/src/main/java/spanrill/decisions/FailedSetUpAction.java
@@ -4,15 +4,15 @@
 import spanrill.decisions.OutcomeTable.Stage;
 
 /** What is done about a set-up that ended without playing, before its outcome is told. */
-public enum LostSetUp {
+public enum FailedSetUpAction {
     /** Its outcome is told as it is: it never ran, or nothing of it left this front. */
-    TELL,
+    REPORT,
     /** The box may run it: it is told to end it, and nobody waits for its word. */
-    CALL_OFF,
+    CANCEL,
     /**
-     * The box may run it and it spends: the box is asked, and its word can be proof ({@link CallOffProof}).
+     * The box may run it and it spends: the box is asked, and its word can be proof ({@link CancellationProof}).
      */
-    ASK_BOX;
+    QUERY_BOX;
 
     /**
      * Chooses.
@@ -21,12 +21,12 @@
      * @param outcome what happened amounts to, as {@link OutcomeTable} reads it
      * @param spends true when the set-up spends something
      */
-    public static LostSetUp of(Stage stage, Outcome outcome, boolean spends) {
+    public static FailedSetUpAction choose(Stage stage, Outcome outcome, boolean spends) {
         boolean sent = stage == Stage.WRITTEN || stage == Stage.ANSWERING;
         if (!sent || outcome.neverRan()) {
-            return TELL;
+            return REPORT;
         }
         // With the head of a success seen it ran: no word of the box can prove otherwise.
-        return spends && stage == Stage.WRITTEN ? ASK_BOX : CALL_OFF;
+        return spends && stage == Stage.WRITTEN ? QUERY_BOX : CANCEL;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/FailureDetector.java
+++ b/decisions/src/main/java/spanrill/decisions/FailureDetector.java
@@ -45,7 +45,7 @@
     }
 
     /** The silence to test after: two notes missed, which come each {@code tellMs} (0: none), told late. */
-    public static double silentMs(double tellMs, double lateMs) {
+    public static double silenceThresholdMs(double tellMs, double lateMs) {
         return tellMs > 0 ? Math.min(MOST_SILENT_MS, 2 * tellMs + lateMs) : UNTOLD_MS;
     }
 
@@ -53,7 +53,7 @@
      * Something came from it. That a connection came up is no word of it: a dead machine's kernel may
      * accept.
      */
-    public void heard(double now) {
+    public void onReceived(double now) {
         heardAt = now;
         testedAt = Double.NaN;
         triedAt = Double.NaN;
@@ -61,12 +61,12 @@
     }
 
     /** True while it is silent for longer than it should be. */
-    public boolean suspect() {
+    public boolean isSuspect() {
         return !Double.isNaN(testedAt);
     }
 
     /** What to do now; asked every so often while sessions stand there. */
-    public Step look(double now) {
+    public Step nextStep(double now) {
         if (Double.isNaN(heardAt)) {
             heardAt = now;
         }
@@ -96,7 +96,7 @@
      * signs. An older connection that still stands says otherwise only while something comes on it: where a
      * process dies, one may be left open for good.
      */
-    public boolean refused(double now, boolean othersStand) {
+    public boolean isGoneAfterRefusal(double now, boolean othersStand) {
         return !othersStand || Double.isNaN(heardAt) || now - heardAt >= QUIET_MS;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/FileDescriptorBudget.java
+++ b/decisions/src/main/java/spanrill/decisions/FileDescriptorBudget.java
@@ -22,12 +22,12 @@
     }
 
     /** Accepted connections. */
-    public int viewers() {
+    public int maxViewerConnections() {
         return viewers;
     }
 
     /** Connections to servers. */
-    public int servers() {
+    public int maxServerConnections() {
         return servers;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/GracefulShutdown.java
+++ b/decisions/src/main/java/spanrill/decisions/GracefulShutdown.java
@@ -27,10 +27,10 @@
      *
      * @param clientConnections client connections that have not ended
      * @param openRequests requests without a final answer
-     * @param serverReleases sessions that servers have yet to be told to end
+     * @param pendingServerReleases sessions that servers have yet to be told to end
      * @param unflushed true while bytes lie in buffers of this process
      */
-    public record View(int clientConnections, int openRequests, int serverReleases, boolean unflushed) {
+    public record View(int clientConnections, int openRequests, int pendingServerReleases, boolean unflushed) {
         private boolean finished() {
             return clientConnections == 0 && openRequests == 0 && !unflushed;
         }
@@ -56,21 +56,21 @@
     }
 
     /** When the last answers are given, ms after the stop: no attempt and no request may take longer. */
-    public double answerByMs() {
+    public double answerDeadlineMs() {
         return killMs - ANSWER_MARGIN_MS;
     }
 
     /** What to do now, so long after the stop was asked for. */
-    public Step next(double sinceMs, View view) {
+    public Step nextStep(double sinceMs, View view) {
         if (!draining) {
-            draining = sinceMs >= Math.min(SERVE_MS, answerByMs() - DRAIN_MARGIN_MS);
+            draining = sinceMs >= Math.min(SERVE_MS, answerDeadlineMs() - DRAIN_MARGIN_MS);
             return draining ? Step.DRAIN : Step.SERVE;
         }
         if (sinceMs >= killMs - END_MARGIN_MS) {
             return Step.END;
         }
-        boolean late = sinceMs >= answerByMs();
-        if (view.finished() && (late || view.serverReleases() == 0)) {
+        boolean late = sinceMs >= answerDeadlineMs();
+        if (view.finished() && (late || view.pendingServerReleases() == 0)) {
             return Step.END;
         }
         return Step.AWAIT;
--- a/decisions/src/main/java/spanrill/decisions/OutcomeTable.java
+++ b/decisions/src/main/java/spanrill/decisions/OutcomeTable.java
@@ -38,19 +38,19 @@
         /** The attempt's time is up. */
         TIMED_OUT,
         /** This front called the attempt off. */
-        CALLED_OFF,
+        CANCELLED,
         /** 503 with a reason that says it was turned away unseen. */
-        TURNED_AWAY,
+        REJECTED_BEFORE_START,
         /** 409: the box tells that this attempt was called off before it began. */
         TOMBSTONED,
-        /** The box tells that it was called off before it began, and never will: see {@link CallOffProof}. */
-        SETTLED_UNSEEN,
+        /** The box tells that it was called off before it began, and never will: see {@link CancellationProof}. */
+        PROVEN_NEVER_RAN,
         /** Any other status that is no success. */
         ERROR_STATUS,
         /** Bytes that are no HTTP/1.1 answer. */
         MALFORMED,
         /** No free connection and none may be opened: it was never offered to the box. */
-        NO_ROOM
+        POOL_EXHAUSTED
     }
 
     private static final Map<Stage, Map<Event, Outcome>> TABLE = new EnumMap<>(Stage.class);
@@ -62,8 +62,8 @@
             for (Event event : Event.values()) {
                 row.put(event, Outcome.CONNECT_FAILED);
             }
-            row.put(Event.CALLED_OFF, Outcome.CANCELLED);
-            row.put(Event.NO_ROOM, Outcome.FULL);
+            row.put(Event.CANCELLED, Outcome.CANCELLED);
+            row.put(Event.POOL_EXHAUSTED, Outcome.FULL);
             TABLE.put(stage, row);
         }
         Map<Event, Outcome> written = new EnumMap<>(Event.class);
@@ -73,25 +73,25 @@
         written.put(Event.RESET, Outcome.RESET);
         written.put(Event.CLOSED, Outcome.RESET);
         written.put(Event.TIMED_OUT, Outcome.TIMEOUT);
-        written.put(Event.CALLED_OFF, Outcome.CANCELLED);
-        written.put(Event.TURNED_AWAY, Outcome.FULL);
+        written.put(Event.CANCELLED, Outcome.CANCELLED);
+        written.put(Event.REJECTED_BEFORE_START, Outcome.FULL);
         written.put(Event.TOMBSTONED, Outcome.ERROR);
-        written.put(Event.SETTLED_UNSEEN, Outcome.FULL);
+        written.put(Event.PROVEN_NEVER_RAN, Outcome.FULL);
         written.put(Event.ERROR_STATUS, Outcome.ERROR);
         written.put(Event.MALFORMED, Outcome.ERROR);
-        written.put(Event.NO_ROOM, Outcome.RESET);
+        written.put(Event.POOL_EXHAUSTED, Outcome.RESET);
         TABLE.put(Stage.WRITTEN, written);
         Map<Event, Outcome> answering = new EnumMap<>(written);
         // A success head was seen: the attempt ran, whatever comes after it.
-        answering.put(Event.TURNED_AWAY, Outcome.ERROR);
-        answering.put(Event.SETTLED_UNSEEN, Outcome.ERROR);
+        answering.put(Event.REJECTED_BEFORE_START, Outcome.ERROR);
+        answering.put(Event.PROVEN_NEVER_RAN, Outcome.ERROR);
         TABLE.put(Stage.ANSWERING, answering);
     }
 
     private OutcomeTable() {}
 
     /** The outcome that an event at a stage amounts to. */
-    public static Outcome read(Stage stage, Event event) {
+    public static Outcome outcomeOf(Stage stage, Event event) {
         return TABLE.get(stage).get(event);
     }
 
@@ -102,13 +102,13 @@
      * @param reason value of {@code Spanrill-Reason}, or null
      * @return null for a success
      */
-    public static Event status(int status, String reason) {
+    public static Event classifyStatus(int status, String reason) {
         if (status >= 200 && status < 300) {
             return null;
         }
         if (status == 503 && reason != null) {
             return switch (reason) {
-                case "places", "link", "draining", "cold" -> Event.TURNED_AWAY;
+                case "places", "link", "draining", "cold" -> Event.REJECTED_BEFORE_START;
                 default -> Event.ERROR_STATUS;
             };
         }
--- a/decisions/src/main/java/spanrill/decisions/PendingReleases.java
+++ b/decisions/src/main/java/spanrill/decisions/PendingReleases.java
@@ -16,17 +16,17 @@
     private final double againMs;
     private final int most;
     private final int tries;
-    private final Map<Long, Owed<T>> owed = new LinkedHashMap<>();
+    private final Map<Long, PendingRelease<T>> owed = new LinkedHashMap<>();
 
     /** One release that is owed. */
-    public static final class Owed<T> {
+    public static final class PendingRelease<T> {
         private final long session;
         private final T end;
         private final double since;
         private double sentAt = Double.NEGATIVE_INFINITY;
         private int sent;
 
-        private Owed(long session, T end, double since) {
+        private PendingRelease(long session, T end, double since) {
             this.session = session;
             this.end = end;
             this.since = since;
@@ -59,31 +59,31 @@
     }
 
     /** A session that stood is over: its viewer is owed a release. */
-    public Owed<T> add(double now, long session, T end) {
+    public PendingRelease<T> add(double now, long session, T end) {
         if (owed.size() >= most) {
             owed.remove(owed.keySet().iterator().next());
         }
-        Owed<T> next = new Owed<>(session, end, now);
+        PendingRelease<T> next = new PendingRelease<>(session, end, now);
         owed.put(session, next);
         return next;
     }
 
     /** Its viewer heard it: true when it was owed. */
-    public boolean heard(long session) {
+    public boolean acknowledge(long session) {
         return owed.remove(session) != null;
     }
 
     /** It goes out now. */
-    public void sent(double now, Owed<T> one) {
+    public void markSent(double now, PendingRelease<T> one) {
         one.sentAt = now;
         one.sent++;
     }
 
     /** Those that are to go out now; what is too old or was sent often enough is let go. */
-    public List<Owed<T>> due(double now) {
-        List<Owed<T>> due = new ArrayList<>();
-        for (Iterator<Owed<T>> it = owed.values().iterator(); it.hasNext(); ) {
-            Owed<T> one = it.next();
+    public List<PendingRelease<T>> due(double now) {
+        List<PendingRelease<T>> due = new ArrayList<>();
+        for (Iterator<PendingRelease<T>> it = owed.values().iterator(); it.hasNext(); ) {
+            PendingRelease<T> one = it.next();
             if (now - one.since > keepMs || (one.sent >= tries && now - one.sentAt >= againMs)) {
                 it.remove();
             } else if (one.sent < tries && now - one.sentAt >= againMs) {
--- a/decisions/src/main/java/spanrill/decisions/PoolPolicy.java
+++ b/decisions/src/main/java/spanrill/decisions/PoolPolicy.java
@@ -4,22 +4,25 @@
  * Which connection to a box an exchange takes. Set-ups and releases come first: they may use connections that
  * segments may not, so a box whose data path is stuck can't hold a release back.
  *
- * @param most connections to one box at most
- * @param kept of these, held free of segments
- * @param waiting segments that may wait for a connection at most
+ * @param maxConnections connections to one box at most
+ * @param reservedConnections of these, held free of segments
+ * @param maxQueuedSegments segments that may wait for a connection at most
  */
-public record PoolPolicy(int most, int kept, int waiting) {
+public record PoolPolicy(int maxConnections, int reservedConnections, int maxQueuedSegments) {
     /** What to do with an exchange. */
     public enum Choice {
         REUSE,
         OPEN,
         WAIT,
-        TURN_AWAY
+        REJECT
     }
 
     /** Checks the figures. */
     public PoolPolicy {
-        if (most < 1 || kept < 0 || kept >= most || waiting < 0) {
+        if (maxConnections < 1
+                || reservedConnections < 0
+                || reservedConnections >= maxConnections
+                || maxQueuedSegments < 0) {
             throw new IllegalArgumentException("caps of a pool must fit each other");
         }
     }
@@ -33,11 +36,11 @@
      * @param queued exchanges of its sort that wait already
      */
     public Choice choose(boolean control, int idle, int open, int queued) {
-        int cap = control ? most : most - kept;
+        int cap = control ? maxConnections : maxConnections - reservedConnections;
         int busy = open - idle;
         if (busy < cap) {
             return idle > 0 ? Choice.REUSE : Choice.OPEN;
         }
-        return !control && queued < waiting ? Choice.WAIT : Choice.TURN_AWAY;
+        return !control && queued < maxQueuedSegments ? Choice.WAIT : Choice.REJECT;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/ReceiveDelayEstimator.java
+++ b/decisions/src/main/java/spanrill/decisions/ReceiveDelayEstimator.java
@@ -15,12 +15,12 @@
     }
 
     /** The loop went round. */
-    public void round(double now) {
+    public void onLoopIteration(double now) {
         lastRound = now;
     }
 
     /** Time that what is read now may have waited, ms. */
-    public double at(double now) {
+    public double estimateMs(double now) {
         return Double.isNaN(lastRound) ? 0 : Math.max(0, now - lastRound - roundMs);
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/RecentAnswers.java
+++ b/decisions/src/main/java/spanrill/decisions/RecentAnswers.java
@@ -17,7 +17,7 @@
     private int next;
 
     /** A request has its final answer now, ms of one monotonic clock. */
-    public void answered(double now, long id) {
+    public void recordAnswer(double now, long id) {
         ids[next] = id;
         answeredAt[next] = now;
         next = (next + 1) % MOST;
@@ -25,7 +25,7 @@
     }
 
     /** True when a set-up with this id, read now, crosses the answer to an earlier one. */
-    public boolean crosses(double now, long id) {
+    public boolean crossesAnswer(double now, long id) {
         for (int i = 0; i < count; i++) {
             if (ids[i] == id && now - answeredAt[i] <= CROSSING_MS) {
                 return true;
--- a/decisions/src/main/java/spanrill/decisions/ReleaseMeaning.java
+++ b/decisions/src/main/java/spanrill/decisions/ReleaseOutcomes.java
@@ -3,8 +3,8 @@
 import spanrill.SessionControl.Outcome;
 
 /** What a server's release says of an attempt: one table for the cause before the answer, one for after. */
-public final class ReleaseMeaning {
-    private ReleaseMeaning() {}
+public final class ReleaseOutcomes {
+    private ReleaseOutcomes() {}
 
     /** Before the answer: only 34 (full) and 102 (never left) prove that it never ran. */
     public static Outcome beforeAnswer(int cause) {
--- a/decisions/src/main/java/spanrill/decisions/SegmentRetry.java
+++ b/decisions/src/main/java/spanrill/decisions/SegmentRetryPolicy.java
@@ -4,32 +4,32 @@
  * What becomes of a viewer's segment whose box lost it. Before the first byte went out another try is
  * harmless; it waits a moment, since the session's own fate (moved, lost with its box) shows in that time.
  */
-public final class SegmentRetry {
+public final class SegmentRetryPolicy {
     private static final double FATE_MS = 150;
     private static final int MOST_TRIES = 3;
 
     /** What to do. */
-    public enum Act {
+    public enum Action {
         /** Cut the viewer's connection: part of the segment is out, and a length was promised. */
-        CUT,
+        ABORT,
         /** Answer that the range is not there (416). */
-        NO_SUCH_RANGE,
+        RANGE_NOT_SATISFIABLE,
         /** Answer that it can't be had (502). */
         GIVE_UP,
-        /** Look again after {@code afterMs}. */
-        AGAIN
+        /** Look again after {@code retryDelayMs}. */
+        RETRY
     }
 
     /**
      * A choice.
      *
-     * @param act what to do
+     * @param action what to do
      * @param sessionLost true when the box doesn't know the session any more
-     * @param afterMs when to look again
+     * @param retryDelayMs when to look again
      */
-    public record Choice(Act act, boolean sessionLost, double afterMs) {}
+    public record Decision(Action action, boolean sessionLost, double retryDelayMs) {}
 
-    private SegmentRetry() {}
+    private SegmentRetryPolicy() {}
 
     /**
      * Chooses.
@@ -38,14 +38,14 @@
      * @param status the box's status, 0 when it gave none
      * @param tries how often it was asked for
      */
-    public static Choice of(boolean started, int status, int tries) {
+    public static Decision decide(boolean started, int status, int tries) {
         if (started) {
-            return new Choice(Act.CUT, false, 0);
+            return new Decision(Action.ABORT, false, 0);
         }
         if (status == 416) {
-            return new Choice(Act.NO_SUCH_RANGE, false, 0);
+            return new Decision(Action.RANGE_NOT_SATISFIABLE, false, 0);
         }
         boolean lost = status == 404;
-        return tries >= MOST_TRIES ? new Choice(Act.GIVE_UP, lost, 0) : new Choice(Act.AGAIN, lost, FATE_MS);
+        return tries >= MOST_TRIES ? new Decision(Action.GIVE_UP, lost, 0) : new Decision(Action.RETRY, lost, FATE_MS);
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/SessionState.java
+++ b/decisions/src/main/java/spanrill/decisions/SessionState.java
@@ -6,7 +6,7 @@
 
 /**
  * The state of one session, from the viewer's request to its end: it owns "one answer", "one attempt out" and
- * "proof that it never ran". Every transition stands in one table; any other is a {@link RuleFault}.
+ * "proof that it never ran". Every transition stands in one table; any other is a {@link IllegalTransitionException}.
  *
  * <p>A session that moves passes through {@link Phase#MOVING}, where its old attempt is over and the answer
  * to the viewer stands; it then sets up again without spending.
@@ -108,7 +108,7 @@
     }
 
     /** True when the table has this transition and the rule on paid sessions does not forbid it. */
-    public boolean may(Event event) {
+    public boolean allows(Event event) {
         if (!TABLE.get(phase).containsKey(event)) {
             return false;
         }
@@ -117,9 +117,9 @@
     }
 
     /** Takes a transition. {@link Event#ATTEMPT_ENDED} goes through {@link #attemptEnded}. */
-    public void on(Event event) {
+    public void apply(Event event) {
         if (event == Event.ATTEMPT_ENDED) {
-            throw new RuleFault("an attempt ends with an outcome");
+            throw new IllegalTransitionException("an attempt ends with an outcome");
         }
         step(event);
         switch (event) {
@@ -141,8 +141,8 @@
     }
 
     private void step(Event event) {
-        if (!may(event)) {
-            throw new RuleFault(
+        if (!allows(event)) {
+            throw new IllegalTransitionException(
                     event + " of a session that is " + phase + (once && mayHaveRun ? ", paid, and may have run" : ""));
         }
         phase = TABLE.get(phase).get(event);
@@ -159,17 +159,17 @@
     }
 
     /** True while an attempt is out. */
-    public boolean attemptOut() {
+    public boolean hasOpenAttempt() {
         return phase == Phase.SETTING_UP || phase == Phase.MOVING_SET_UP;
     }
 
     /** True while the viewer still waits for the answer. */
-    public boolean answerOwed() {
+    public boolean isAnswerPending() {
         return phase == Phase.TAKEN || phase == Phase.SETTING_UP;
     }
 
     /** True after it was answered "plays" and before its end. */
-    public boolean inPlay() {
+    public boolean isEstablished() {
         return phase == Phase.PLAYING || phase == Phase.MOVING || phase == Phase.MOVING_SET_UP;
     }
 
--- a/decisions/src/main/java/spanrill/decisions/Admission.java
+++ b/decisions/src/main/java/spanrill/decisions/TokenRequestTable.java
@@ -13,9 +13,9 @@
  * tokens are turned away rather than old ids forgotten, since a forgotten id of a paid session could be spent
  * again.
  */
-public final class Admission {
+public final class TokenRequestTable {
     /** What to do with a token. */
-    public enum Kind {
+    public enum Disposition {
         /** A new request to the module. */
         NEW,
         /** Joins the session named. */
@@ -30,7 +30,7 @@
         /** Its session is over; the token is used up. */
         USED,
         /** No room to remember one more id. */
-        NO_ROOM
+        TABLE_FULL
     }
 
     /**
@@ -38,16 +38,16 @@
      *
      * @param kind what to do
      * @param session the session to join, or null
-     * @param again true for a new request of a token that was refused before
+     * @param refusedBefore true for a new request of a token that was refused before
      * @param retryAfterMs what is left of the wait that it was told with a refusal
      */
-    public record Verdict(Kind kind, String session, boolean again, double retryAfterMs) {}
+    public record Verdict(Disposition kind, String session, boolean refusedBefore, double retryAfterMs) {}
 
     private static final class Entry {
         private final boolean once;
         private final double expiresAt;
         private String session;
-        private Kind after;
+        private Disposition after;
         private boolean refusedBefore;
         private double refusedAt = Double.NEGATIVE_INFINITY;
         private double retryAfterMs;
@@ -70,30 +70,30 @@
      * were it a
      *     new one, its viewer could be told both "refused" and "plays", and take the token elsewhere
      */
-    public Admission(int most, double sameMs) {
+    public TokenRequestTable(int most, double sameMs) {
         this.most = most;
         this.sameMs = sameMs;
     }
 
-    /** A token came: what does it stand for? A {@link Kind#NEW} must be followed by {@link #taken}. */
-    public Verdict offer(double now, String tokenId) {
+    /** A token came: what does it stand for? A {@link Disposition#NEW} must be followed by {@link #assignSession}. */
+    public Verdict evaluate(double now, String tokenId) {
         Entry entry = entries.get(tokenId);
         if (entry == null) {
             if (entries.size() >= most) {
-                sweep(now);
+                removeExpired(now);
             }
-            return new Verdict(entries.size() >= most ? Kind.NO_ROOM : Kind.NEW, null, false, 0);
+            return new Verdict(entries.size() >= most ? Disposition.TABLE_FULL : Disposition.NEW, null, false, 0);
         }
         if (entry.session != null) {
-            return new Verdict(Kind.JOIN, entry.session, false, 0);
+            return new Verdict(Disposition.JOIN, entry.session, false, 0);
         }
         if (entry.after != null) {
             return new Verdict(entry.after, null, false, 0);
         }
         double since = now - entry.refusedAt;
         return since < sameMs
-                ? new Verdict(Kind.REFUSED, null, false, Math.max(0, entry.retryAfterMs - since))
-                : new Verdict(Kind.NEW, null, entry.refusedBefore, 0);
+                ? new Verdict(Disposition.REFUSED, null, false, Math.max(0, entry.retryAfterMs - since))
+                : new Verdict(Disposition.NEW, null, entry.refusedBefore, 0);
     }
 
     /**
@@ -103,15 +103,15 @@
      */
     public void restore(String tokenId, boolean used, double expiresAt) {
         Entry entry = new Entry(true, expiresAt);
-        entry.after = used ? Kind.USED : Kind.FAILED;
+        entry.after = used ? Disposition.USED : Disposition.FAILED;
         entries.put(tokenId, entry);
     }
 
     /** Its request was taken as this session. */
-    public void taken(String tokenId, String session, boolean once, double expiresAt) {
+    public void assignSession(String tokenId, String session, boolean once, double expiresAt) {
         Entry entry = entries.computeIfAbsent(tokenId, id -> new Entry(once, expiresAt));
         if (entry.session != null || entry.after != null) {
-            throw new RuleFault("token taken twice");
+            throw new IllegalTransitionException("token taken twice");
         }
         entry.session = session;
     }
@@ -123,17 +123,17 @@
      * @param mayHaveRun true when an attempt may have run
      * @param retryAfterMs the wait told with a refusal
      */
-    public void over(double now, String tokenId, Answer answer, boolean mayHaveRun, double retryAfterMs) {
+    public void endSession(double now, String tokenId, Answer answer, boolean mayHaveRun, double retryAfterMs) {
         Entry entry = entries.get(tokenId);
         if (entry == null) {
             return;
         }
         entry.session = null;
         if (answer == Answer.PLAYS) {
-            entry.after = Kind.USED;
+            entry.after = Disposition.USED;
         } else if (entry.once && mayHaveRun) {
             // A viewer that left while a paid set-up was out gets the answer that it would have been given.
-            entry.after = Kind.FAILED;
+            entry.after = Disposition.FAILED;
         } else {
             entry.after = null;
             entry.refusedBefore = true;
@@ -143,7 +143,7 @@
     }
 
     /** Drops the ids whose tokens have expired: such a token is turned away by its date alone. */
-    public void sweep(double now) {
+    public void removeExpired(double now) {
         if (now - sweptAt < 100) {
             return;
         }
--- a/decisions/src/main/java/spanrill/decisions/TrackRates.java
+++ b/decisions/src/main/java/spanrill/decisions/TrackRates.java
@@ -17,12 +17,12 @@
      * @param wantedKb rate of the title's audio, 0 when it has none
      * @param lowestKb rate of the session at its class's floor
      */
-    public static double audio(double wantedKb, double lowestKb) {
+    public static double audioRate(double wantedKb, double lowestKb) {
         return wantedKb > 0 && wantedKb <= lowestKb * MOST_AUDIO ? wantedKb : 0;
     }
 
     /** Rate of the video track at a rung whose session rate is {@code sessionKb}. */
-    public static double video(double sessionKb, double audioKb) {
+    public static double videoRate(double sessionKb, double audioKb) {
         return sessionKb - audioKb;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/UnacknowledgedReleases.java
+++ b/decisions/src/main/java/spanrill/decisions/UnacknowledgedReleases.java
@@ -28,7 +28,7 @@
     }
 
     /** The release of a session is written now. */
-    public void said(double now, long session) {
+    public void recordWritten(double now, long session) {
         said.remove(session);
         said.put(session, now);
         // Never empties it: what was said just now is young, and one at least is kept.
@@ -39,12 +39,12 @@
     }
 
     /** The peer has spoken of the session: it has heard. */
-    public void heard(long session) {
+    public void acknowledge(long session) {
         said.remove(session);
     }
 
     /** The connection ends now: the sessions whose release may be lost, in the order of their writing. */
-    public List<Long> lost(double now) {
+    public List<Long> takeUnacknowledged(double now) {
         List<Long> lost = new ArrayList<>();
         said.forEach((session, at) -> {
             if (now - at < arrivedMs) {
--- a/decisions/src/test/java/spanrill/decisions/AdmissionQueueTest.java
+++ b/decisions/src/test/java/spanrill/decisions/AdmissionQueueTest.java
@@ -21,57 +21,57 @@
     @Test
     void theEarliestDeadlineIsServedFirst() {
         AdmissionQueue<String> room = new AdmissionQueue<>(10, 1, 1);
-        room.come(0, "late", 300, 1);
-        room.come(0, "early", 100, 1);
-        room.come(0, "middle", 200, 3);
+        room.enqueue(0, "late", 300, 1);
+        room.enqueue(0, "early", 100, 1);
+        room.enqueue(0, "middle", 200, 3);
         assertEquals(
                 List.of("early", "middle", "late"),
-                List.of(room.next(0, shed), room.next(0, shed), room.next(0, shed)));
-        assertNull(room.next(0, shed));
+                List.of(room.poll(0, shed), room.poll(0, shed), room.poll(0, shed)));
+        assertNull(room.poll(0, shed));
         assertEquals(List.of(), shed);
     }
 
     @Test
     void whoCanNotBeServedInTimeIsShedAtOnce() {
         AdmissionQueue<String> room = new AdmissionQueue<>(10, 1, 50);
-        assertEquals(List.of("hopeless"), room.come(0, "hopeless", 40, 9));
-        room.come(0, "a", 100, 1);
-        room.come(0, "b", 500, 1);
-        assertEquals("b", room.next(80, shed));
+        assertEquals(List.of("hopeless"), room.enqueue(0, "hopeless", 40, 9));
+        room.enqueue(0, "a", 100, 1);
+        room.enqueue(0, "b", 500, 1);
+        assertEquals("b", room.poll(80, shed));
         assertEquals(List.of("a"), shed);
     }
 
     @Test
     void whenFullTheLeastWorthGoesAndOfEqualsTheLatest() {
         AdmissionQueue<String> room = new AdmissionQueue<>(2, 1, 1);
-        room.come(0, "paid", 300, 3);
-        room.come(0, "soon", 100, 1);
-        assertEquals(List.of("late"), room.come(0, "late", 200, 1));
-        assertEquals(List.of("soon"), room.come(0, "paid too", 400, 3));
+        room.enqueue(0, "paid", 300, 3);
+        room.enqueue(0, "soon", 100, 1);
+        assertEquals(List.of("late"), room.enqueue(0, "late", 200, 1));
+        assertEquals(List.of("soon"), room.enqueue(0, "paid too", 400, 3));
         assertEquals(2, room.size());
     }
 
     @Test
     void whoLeftIsNeitherServedNorShed() {
         AdmissionQueue<String> room = new AdmissionQueue<>(2, 1, 1);
-        room.come(0, "a", 300, 3);
-        assertTrue(room.left("a"));
-        assertFalse(room.left("a"));
-        assertNull(room.next(0, shed));
-        room.come(0, "a", 300, 3);
-        assertThrows(RuleFault.class, () -> room.come(0, "a", 300, 3));
+        room.enqueue(0, "a", 300, 3);
+        assertTrue(room.cancel("a"));
+        assertFalse(room.cancel("a"));
+        assertNull(room.poll(0, shed));
+        room.enqueue(0, "a", 300, 3);
+        assertThrows(IllegalTransitionException.class, () -> room.enqueue(0, "a", 300, 3));
     }
 
     @Test
     void theWaitFollowsWhatServiceTakes() {
         AdmissionQueue<Integer> room = new AdmissionQueue<>(1000, 2, 1);
         for (int i = 0; i < 200; i++) {
-            room.served(4);
+            room.recordServiceTime(4);
         }
         for (int i = 0; i < 100; i++) {
-            room.come(0, i, 1e9, 1);
+            room.enqueue(0, i, 1e9, 1);
         }
-        assertEquals(200, room.waitMs(), 1);
+        assertEquals(200, room.estimatedWaitMs(), 1);
     }
 
     /** Each who comes is served, shed or left, once; the room never holds more than it may. */
@@ -88,10 +88,10 @@
             switch (random.nextInt(4)) {
                 case 0, 1 -> {
                     waiting.add(i);
-                    gone.addAll(room.come(now, i, now + random.nextInt(80), random.nextInt(3)));
+                    gone.addAll(room.enqueue(now, i, now + random.nextInt(80), random.nextInt(3)));
                 }
                 case 2 -> {
-                    Integer next = room.next(now, gone);
+                    Integer next = room.poll(now, gone);
                     if (next != null) {
                         gone.add(next);
                     }
@@ -99,7 +99,7 @@
                 default -> {
                     if (!waiting.isEmpty()) {
                         Integer who = waiting.iterator().next();
-                        assertTrue(room.left(who));
+                        assertTrue(room.cancel(who));
                         gone.add(who);
                     }
                 }
@@ -124,7 +124,7 @@
             for (int i = 0; i < 4000 * load; i++) {
                 double now = i * 2.0 / load;
                 while (free <= now) {
-                    Integer next = room.next(free, new ArrayList<>());
+                    Integer next = room.poll(free, new ArrayList<>());
                     if (next == null) {
                         free = now + 1e-9;
                         break;
@@ -132,9 +132,9 @@
                     served++;
                     free += 2;
                     good += free <= next * 2.0 / load + 100 ? 1 : 0;
-                    room.served(2);
+                    room.recordServiceTime(2);
                 }
-                room.come(now, i, now + 100, 1);
+                room.enqueue(now, i, now + 100, 1);
             }
             assertTrue(good > 3800, "load " + load + ": " + good);
             assertTrue(good >= 0.99 * served, "load " + load + ": " + good + " of " + served);
--- a/decisions/src/test/java/spanrill/decisions/ClientConnectionStateTest.java
+++ b/decisions/src/test/java/spanrill/decisions/ClientConnectionStateTest.java
@@ -17,7 +17,6 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
-import spanrill.decisions.ClientConnectionState.Intake;
 import spanrill.decisions.ClientConnectionState.Phase;
 import spanrill.decisions.ClientConnectionState.Step;
 import spanrill.decisions.ClientConnectionState.View;
@@ -29,69 +28,69 @@
 
     @Test
     void openRequestsGetTheirAnswersBeforeTheOutputIsShutDown() {
-        assertEquals(Intake.SERVE, state.intake());
-        state.drain(0, CloseReason.SHUTDOWN, 600);
-        assertEquals(Intake.REFUSE, state.intake());
-        assertEquals(Step.NONE, state.next(599, BUSY));
-        assertEquals(Step.FAIL_OPEN, state.next(600, BUSY));
-        assertEquals(Step.NONE, state.next(601, new View(0, false, true, false, true, true)), "not flushed");
-        assertEquals(Step.SHUT_DOWN_OUTPUT, state.next(602, QUIET));
+        assertEquals(ClientConnectionState.RequestHandling.SERVE, state.requestHandling());
+        state.startDrain(0, CloseReason.SHUTDOWN, 600);
+        assertEquals(ClientConnectionState.RequestHandling.REFUSE, state.requestHandling());
+        assertEquals(Step.NONE, state.nextStep(599, BUSY));
+        assertEquals(Step.FAIL_OPEN_REQUESTS, state.nextStep(600, BUSY));
+        assertEquals(Step.NONE, state.nextStep(601, new View(0, false, true, false, true, true)), "not flushed");
+        assertEquals(Step.SHUT_DOWN_OUTPUT, state.nextStep(602, QUIET));
         assertEquals(Phase.CLOSING, state.phase());
-        assertEquals(Intake.DISCARD, state.intake());
-        assertEquals(Step.NONE, state.next(1101, QUIET));
-        assertEquals(Step.CLOSE, state.next(1102, QUIET), "its client does not end it");
+        assertEquals(ClientConnectionState.RequestHandling.DISCARD, state.requestHandling());
+        assertEquals(Step.NONE, state.nextStep(1101, QUIET));
+        assertEquals(Step.CLOSE, state.nextStep(1102, QUIET), "its client does not end it");
     }
 
     /** What has arrived is read before the end, so that it is refused and not dropped. */
     @Test
     void whatLiesUnreadIsReadBeforeTheEnd() {
         View unread = new View(0, false, false, false, true, false);
-        state.drain(0, CloseReason.SHUTDOWN, 600);
-        assertEquals(Step.READ_FIRST, state.next(10, unread));
-        assertEquals(Intake.REFUSE, state.intake());
-        assertEquals(Step.SHUT_DOWN_OUTPUT, state.next(11, QUIET));
+        state.startDrain(0, CloseReason.SHUTDOWN, 600);
+        assertEquals(Step.READ_INPUT, state.nextStep(10, unread));
+        assertEquals(ClientConnectionState.RequestHandling.REFUSE, state.requestHandling());
+        assertEquals(Step.SHUT_DOWN_OUTPUT, state.nextStep(11, QUIET));
     }
 
     @Test
     void idleConnectionsEndAtOnceAndUnusedOnesWithoutADetour() {
-        state.drain(0, CloseReason.EVICTED);
-        assertEquals(Step.SHUT_DOWN_OUTPUT, state.next(0, QUIET));
+        state.startDrain(0, CloseReason.EVICTED);
+        assertEquals(Step.SHUT_DOWN_OUTPUT, state.nextStep(0, QUIET));
         ClientConnectionState unused = new ClientConnectionState();
-        unused.drain(0, CloseReason.NOTHING_USEFUL);
-        assertEquals(Step.CLOSE, unused.next(0, new View(0, false, false, false, false, true)));
+        unused.startDrain(0, CloseReason.NOTHING_USEFUL);
+        assertEquals(Step.CLOSE, unused.nextStep(0, new View(0, false, false, false, false, true)));
         ClientConnectionState noise = new ClientConnectionState();
-        noise.drain(0, CloseReason.UNREADABLE);
-        assertEquals(Step.CLOSE, noise.next(0, new View(0, true, false, true, false, true)));
+        noise.startDrain(0, CloseReason.UNREADABLE);
+        assertEquals(Step.CLOSE, noise.nextStep(0, new View(0, true, false, true, false, true)));
     }
 
     @Test
     void aShutdownWaitsForRequestsUnderWayAndForReleases() {
-        state.drain(0, CloseReason.SHUTDOWN, 600);
-        assertEquals(Step.NONE, state.next(10, new View(0, true, false, false, true, true)));
-        assertEquals(Step.NONE, state.next(20, new View(0, false, false, true, true, true)));
-        assertEquals(Step.SHUT_DOWN_OUTPUT, state.next(600, new View(0, true, false, true, true, true)));
+        state.startDrain(0, CloseReason.SHUTDOWN, 600);
+        assertEquals(Step.NONE, state.nextStep(10, new View(0, true, false, false, true, true)));
+        assertEquals(Step.NONE, state.nextStep(20, new View(0, false, false, true, true, true)));
+        assertEquals(Step.SHUT_DOWN_OUTPUT, state.nextStep(600, new View(0, true, false, true, true, true)));
     }
 
     @Test
     void hostileClientsHaveTheirOpenRequestsAnsweredWithinThreeSeconds() {
-        state.drain(0, CloseReason.UNREADABLE);
-        assertEquals(Intake.DISCARD, state.intake());
+        state.startDrain(0, CloseReason.UNREADABLE);
+        assertEquals(ClientConnectionState.RequestHandling.DISCARD, state.requestHandling());
         assertFalse(state.readable());
-        assertEquals(Step.NONE, state.next(1499, BUSY));
-        assertEquals(Step.FAIL_OPEN, state.next(1500, BUSY));
-        assertEquals(Step.SHUT_DOWN_OUTPUT, state.next(1501, QUIET));
-        state.discarded(2 << 20);
-        assertEquals(Step.CLOSE, state.next(1502, QUIET), "endless input");
+        assertEquals(Step.NONE, state.nextStep(1499, BUSY));
+        assertEquals(Step.FAIL_OPEN_REQUESTS, state.nextStep(1500, BUSY));
+        assertEquals(Step.SHUT_DOWN_OUTPUT, state.nextStep(1501, QUIET));
+        state.onDiscarded(2 << 20);
+        assertEquals(Step.CLOSE, state.nextStep(1502, QUIET), "endless input");
     }
 
     @Test
     void theFirstReasonStands() {
         assertNull(state.reason());
-        state.drain(0, CloseReason.ABUSE);
-        state.drain(10, CloseReason.SHUTDOWN, 5000);
-        state.closed(CloseReason.PEER_CLOSED);
+        state.startDrain(0, CloseReason.ABUSE);
+        state.startDrain(10, CloseReason.SHUTDOWN, 5000);
+        state.onClosed(CloseReason.PEER_CLOSED);
         assertEquals(CloseReason.ABUSE, state.reason());
-        assertEquals(Step.NONE, state.next(9000, BUSY));
+        assertEquals(Step.NONE, state.nextStep(9000, BUSY));
     }
 
     /** What may happen to a connection. */
@@ -171,12 +170,12 @@
         }
 
         private void request() {
-            if (state.intake() == Intake.DISCARD) {
+            if (state.requestHandling() == ClientConnectionState.RequestHandling.DISCARD) {
                 return;
             }
             int id = ++ids;
             answers.put(id, 0);
-            if (state.intake() == Intake.SERVE) {
+            if (state.requestHandling() == ClientConnectionState.RequestHandling.SERVE) {
                 open.add(id);
             } else {
                 answer(id);
@@ -192,15 +191,15 @@
         private void drain(CloseReason reason) {
             boolean needsNoOpen = reason == CloseReason.IDLE || reason == CloseReason.EVICTED;
             if (reason == CloseReason.SHUTDOWN) {
-                state.drain(now, reason, 600);
+                state.startDrain(now, reason, 600);
             } else if (!needsNoOpen || open.isEmpty()) {
-                state.drain(now, reason);
+                state.startDrain(now, reason);
             }
         }
 
         private void advance() {
-            switch (state.next(now, new View(open.size(), false, stalled, false, ids > 0, true))) {
-                case FAIL_OPEN -> {
+            switch (state.nextStep(now, new View(open.size(), false, stalled, false, ids > 0, true))) {
+                case FAIL_OPEN_REQUESTS -> {
                     Set.copyOf(open).forEach(this::answer);
                     advance();
                 }
@@ -215,7 +214,7 @@
 
         private void close(CloseReason reason) {
             clientGone |= reason == CloseReason.PEER_CLOSED;
-            state.closed(reason);
+            state.onClosed(reason);
             open.clear();
         }
 
--- a/decisions/src/test/java/spanrill/decisions/ConnectionLimitsTest.java
+++ b/decisions/src/test/java/spanrill/decisions/ConnectionLimitsTest.java
@@ -13,19 +13,19 @@
     void whoSendsNothingUsefulIsClosedWellWithinThreeSeconds() {
         assertEquals(
                 Optional.of(CloseReason.NOTHING_USEFUL),
-                ConnectionTimeouts.expired(new View(1500, 1500, 0, 0, false, 0)),
+                ConnectionTimeouts.expiryReason(new View(1500, 1500, 0, 0, false, 0)),
                 "silent");
         assertEquals(
                 Optional.of(CloseReason.MESSAGE_INCOMPLETE),
-                ConnectionTimeouts.expired(new View(9000, 9000, 0, 1, true, 2500)),
+                ConnectionTimeouts.expiryReason(new View(9000, 9000, 0, 1, true, 2500)),
                 "half a message");
         assertEquals(
                 Optional.of(CloseReason.NOTHING_USEFUL),
-                ConnectionTimeouts.expired(new View(2500, 2500, 0, 0, false, 10)),
+                ConnectionTimeouts.expiryReason(new View(2500, 2500, 0, 0, false, 10)),
                 "halves");
         assertEquals(
                 Optional.of(CloseReason.IDLE),
-                ConnectionTimeouts.expired(new View(60_000, 10_000, 0, 0, true, 0)),
+                ConnectionTimeouts.expiryReason(new View(60_000, 10_000, 0, 0, true, 0)),
                 "held for good");
     }
 
@@ -33,23 +33,23 @@
     void whoIsServedAsksOrWritesSlowlyStays() {
         assertEquals(
                 Optional.empty(),
-                ConnectionTimeouts.expired(new View(9000, 9000, 1, 0, false, 9000)),
+                ConnectionTimeouts.expiryReason(new View(9000, 9000, 1, 0, false, 9000)),
                 "an answer is owed");
         assertEquals(
                 Optional.empty(),
-                ConnectionTimeouts.expired(new View(60_000, 4000, 0, 0, true, 0)),
+                ConnectionTimeouts.expiryReason(new View(60_000, 4000, 0, 0, true, 0)),
                 "between two set-ups");
         assertEquals(
                 Optional.empty(),
-                ConnectionTimeouts.expired(new View(60_000, 30_000, 0, 1, true, 0)),
+                ConnectionTimeouts.expiryReason(new View(60_000, 30_000, 0, 1, true, 0)),
                 "its session plays");
         assertEquals(
                 Optional.empty(),
-                ConnectionTimeouts.expired(new View(60_000, 9000, 0, 0, true, 50)),
+                ConnectionTimeouts.expiryReason(new View(60_000, 9000, 0, 0, true, 50)),
                 "its next set-up comes");
         assertEquals(
                 Optional.empty(),
-                ConnectionTimeouts.expired(new View(2400, 2400, 0, 0, false, 2400)),
+                ConnectionTimeouts.expiryReason(new View(2400, 2400, 0, 0, false, 2400)),
                 "it comes slowly");
     }
 
@@ -57,41 +57,41 @@
     void messagesThatAreFreeNeverCount() {
         AbuseLimiter limiter = new AbuseLimiter();
         for (int i = 0; i < 60_000; i++) {
-            assertFalse(limiter.free(i, 40), "a thousand acknowledgements a second for a minute");
+            assertFalse(limiter.chargeMessage(i, 40), "a thousand acknowledgements a second for a minute");
         }
         for (int i = 0; i < 80; i++) {
-            assertFalse(limiter.rejected(60_000));
+            assertFalse(limiter.chargeRejectedSetUp(60_000));
         }
     }
 
     @Test
     void aSetUpThatCrossesItsAnswerIsARepetition() {
         RecentAnswers answers = new RecentAnswers();
-        assertFalse(answers.crosses(0, 0), "nothing was answered yet");
-        answers.answered(100, 7);
-        assertTrue(answers.crosses(150, 7));
-        assertFalse(answers.crosses(151, 7), "its client has heard of it by now");
+        assertFalse(answers.crossesAnswer(0, 0), "nothing was answered yet");
+        answers.recordAnswer(100, 7);
+        assertTrue(answers.crossesAnswer(150, 7));
+        assertFalse(answers.crossesAnswer(151, 7), "its client has heard of it by now");
         for (int id = 1000; id < 1064; id++) {
-            answers.answered(110, id);
+            answers.recordAnswer(110, id);
         }
-        assertFalse(answers.crosses(120, 7), "the oldest is forgotten");
-        assertTrue(answers.crosses(120, 1063));
+        assertFalse(answers.crossesAnswer(120, 7), "the oldest is forgotten");
+        assertTrue(answers.crossesAnswer(120, 1063));
     }
 
     @Test
     void floodsAreFoundByTheirRateWhateverCameBefore() {
         AbuseLimiter limiter = new AbuseLimiter();
         for (int second = 0; second < 600; second++) {
-            assertFalse(limiter.rejected(1000.0 * second), "one a second for ten minutes");
+            assertFalse(limiter.chargeRejectedSetUp(1000.0 * second), "one a second for ten minutes");
         }
         boolean found = false;
         for (int i = 0; i < 3 * 61 && !found; i++) {
-            found = limiter.rejected(600_000 + 1000.0 * i / 61);
+            found = limiter.chargeRejectedSetUp(600_000 + 1000.0 * i / 61);
         }
         assertTrue(found, "61 a second, within 3 s");
         AbuseLimiter endless = new AbuseLimiter();
         int messages = 0;
-        while (!endless.free(messages, 16 * 1024)) {
+        while (!endless.chargeMessage(messages, 16 * 1024)) {
             messages++;
         }
         assertTrue(messages < 200, "an endless stream of large messages, a few MB");
--- a/decisions/src/test/java/spanrill/decisions/EdgesTest.java
+++ b/decisions/src/test/java/spanrill/decisions/EdgesTest.java
@@ -17,23 +17,23 @@
         ConnectionBudget budget = new ConnectionBudget(10);
         for (int i = 0; i < 10; i++) {
             assertFalse(budget.becameFull());
-            assertTrue(budget.opened());
+            assertTrue(budget.tryOpen());
         }
         assertTrue(budget.becameFull());
-        assertFalse(budget.opened());
+        assertFalse(budget.tryOpen());
         assertFalse(budget.becameFull());
-        budget.closed();
-        assertTrue(budget.opened());
+        budget.onClosed();
+        assertTrue(budget.tryOpen());
         assertFalse(budget.becameFull(), "it hovers at its limit");
-        budget.closed();
-        budget.closed();
+        budget.onClosed();
+        budget.onClosed();
         assertFalse(budget.becameFull());
-        budget.opened();
-        budget.opened();
+        budget.tryOpen();
+        budget.tryOpen();
         assertTrue(budget.becameFull());
-        assertEquals(1, budget.turnedAway());
+        assertEquals(1, budget.rejected());
         ConnectionBudget empty = new ConnectionBudget(1);
-        assertThrows(RuleFault.class, empty::closed);
+        assertThrows(IllegalTransitionException.class, empty::onClosed);
     }
 
     @Test
@@ -41,62 +41,69 @@
         for (Stage stage : Stage.values()) {
             for (Outcome outcome : Outcome.values()) {
                 boolean sent = stage == Stage.WRITTEN || stage == Stage.ANSWERING;
-                LostSetUp free = LostSetUp.of(stage, outcome, false);
-                assertEquals(sent && !outcome.neverRan() ? LostSetUp.CALL_OFF : LostSetUp.TELL, free);
-                LostSetUp paid = LostSetUp.of(stage, outcome, true);
-                assertEquals(stage == Stage.WRITTEN && !outcome.neverRan() ? LostSetUp.ASK_BOX : free, paid);
+                FailedSetUpAction free = FailedSetUpAction.choose(stage, outcome, false);
+                assertEquals(sent && !outcome.neverRan() ? FailedSetUpAction.CANCEL : FailedSetUpAction.REPORT, free);
+                FailedSetUpAction paid = FailedSetUpAction.choose(stage, outcome, true);
+                assertEquals(stage == Stage.WRITTEN && !outcome.neverRan() ? FailedSetUpAction.QUERY_BOX : free, paid);
             }
         }
     }
 
     @Test
     void aSegmentIsAskedForAgainOnlyBeforeItsFirstByte() {
-        assertEquals(SegmentRetry.Act.CUT, SegmentRetry.of(true, 0, 1).act());
         assertEquals(
-                SegmentRetry.Act.NO_SUCH_RANGE, SegmentRetry.of(false, 416, 1).act());
-        assertEquals(SegmentRetry.Act.AGAIN, SegmentRetry.of(false, 0, 2).act());
-        assertTrue(SegmentRetry.of(false, 0, 2).afterMs() > 0);
-        assertEquals(SegmentRetry.Act.GIVE_UP, SegmentRetry.of(false, 0, 3).act());
-        assertTrue(SegmentRetry.of(false, 404, 1).sessionLost());
-        assertTrue(SegmentRetry.of(false, 404, 3).sessionLost());
-        assertFalse(SegmentRetry.of(false, 503, 1).sessionLost());
+                SegmentRetryPolicy.Action.ABORT,
+                SegmentRetryPolicy.decide(true, 0, 1).action());
+        assertEquals(
+                SegmentRetryPolicy.Action.RANGE_NOT_SATISFIABLE,
+                SegmentRetryPolicy.decide(false, 416, 1).action());
+        assertEquals(
+                SegmentRetryPolicy.Action.RETRY,
+                SegmentRetryPolicy.decide(false, 0, 2).action());
+        assertTrue(SegmentRetryPolicy.decide(false, 0, 2).retryDelayMs() > 0);
+        assertEquals(
+                SegmentRetryPolicy.Action.GIVE_UP,
+                SegmentRetryPolicy.decide(false, 0, 3).action());
+        assertTrue(SegmentRetryPolicy.decide(false, 404, 1).sessionLost());
+        assertTrue(SegmentRetryPolicy.decide(false, 404, 3).sessionLost());
+        assertFalse(SegmentRetryPolicy.decide(false, 503, 1).sessionLost());
     }
 
     @Test
     void audioComesOutOfTheSessionsRate() {
-        assertEquals(24, TrackRates.audio(24, 200));
-        assertEquals(176, TrackRates.video(200, 24));
-        assertEquals(100, TrackRates.audio(100, 200));
-        assertEquals(0, TrackRates.audio(101, 200), "it would starve the pictures");
-        assertEquals(0, TrackRates.audio(0, 200));
+        assertEquals(24, TrackRates.audioRate(24, 200));
+        assertEquals(176, TrackRates.videoRate(200, 24));
+        assertEquals(100, TrackRates.audioRate(100, 200));
+        assertEquals(0, TrackRates.audioRate(101, 200), "it would starve the pictures");
+        assertEquals(0, TrackRates.audioRate(0, 200));
     }
 
     @Test
     void aBoxIsGoneWhenNothingListensAndRestartedWhenAnotherAnswers() {
-        BoxWatch watch = new BoxWatch(50, 2000, 1);
-        assertNull(watch.hello(1));
-        watch.told();
-        assertEquals(new BoxWatch.Next(null, 0), watch.broken(true), "who answers now decides");
-        assertNull(watch.hello(1));
-        assertEquals(SessionEnd.BOX_RESTARTED, watch.hello(2));
-        assertEquals(new BoxWatch.Next(null, -1), watch.broken(false), "nothing plays there");
-        BoxWatch.Next gone = watch.unreachable(true);
-        assertEquals(SessionEnd.BOX_GONE, gone.lost());
-        assertTrue(gone.openAfterMs() >= 25 && gone.openAfterMs() <= 50, gone.toString());
-        assertEquals(-1, watch.unreachable(false).openAfterMs());
+        BoxProcessMonitor watch = new BoxProcessMonitor(50, 2000, 1);
+        assertNull(watch.onHello(1));
+        watch.onData();
+        assertEquals(new BoxProcessMonitor.Reaction(null, 0), watch.onStreamBroken(true), "who answers now decides");
+        assertNull(watch.onHello(1));
+        assertEquals(SessionEnd.BOX_RESTARTED, watch.onHello(2));
+        assertEquals(new BoxProcessMonitor.Reaction(null, -1), watch.onStreamBroken(false), "nothing plays there");
+        BoxProcessMonitor.Reaction gone = watch.onUnreachable(true);
+        assertEquals(SessionEnd.BOX_GONE, gone.lostReason());
+        assertTrue(gone.reopenDelayMs() >= 25 && gone.reopenDelayMs() <= 50, gone.toString());
+        assertEquals(-1, watch.onUnreachable(false).reopenDelayMs());
     }
 
     @Test
     void aBoxThatTakesTheStreamAndClosesItIsNotAskedWithoutEnd() {
-        BoxWatch watch = new BoxWatch(50, 2000, 1);
-        watch.told();
-        assertEquals(0, watch.broken(true).openAfterMs());
+        BoxProcessMonitor watch = new BoxProcessMonitor(50, 2000, 1);
+        watch.onData();
+        assertEquals(0, watch.onStreamBroken(true).reopenDelayMs());
         double sum = 0;
         for (int i = 0; i < 10; i++) {
-            sum += watch.broken(true).openAfterMs();
+            sum += watch.onStreamBroken(true).reopenDelayMs();
         }
         assertTrue(sum > 5000, "ten tries took " + sum);
-        watch.told();
-        assertEquals(0, watch.broken(true).openAfterMs());
+        watch.onData();
+        assertEquals(0, watch.onStreamBroken(true).reopenDelayMs());
     }
 }
--- a/decisions/src/test/java/spanrill/decisions/EndsAndTimesTest.java
+++ b/decisions/src/test/java/spanrill/decisions/EndsAndTimesTest.java
@@ -16,28 +16,28 @@
 class EndsAndTimesTest {
     @Test
     void whatAViewerWaitedForComesOutOfItsTime() {
-        AnswerTime time = new AnswerTime(2000, 150);
-        assertEquals(1850, time.left(100, 100));
-        assertEquals(1350, time.left(600, 100));
-        assertEquals(1850, time.whole());
+        AnswerDeadline time = new AnswerDeadline(2000, 150);
+        assertEquals(1850, time.remainingMs(100, 100));
+        assertEquals(1350, time.remainingMs(600, 100));
+        assertEquals(1850, time.totalMs());
         assertEquals(1950, time.deadline(100));
-        assertTrue(time.net(600, 100) > time.left(600, 100), "the module is given its time first");
-        assertTrue(600 + time.net(600, 100) < 100 + 2000, "and the viewer still waits then");
-        assertEquals(0, time.net(9000, 100));
-        assertThrows(IllegalArgumentException.class, () -> new AnswerTime(150, 150));
-        assertThrows(IllegalArgumentException.class, () -> new AnswerTime(Double.NaN, 1));
+        assertTrue(time.guardDelayMs(600, 100) > time.remainingMs(600, 100), "the module is given its time first");
+        assertTrue(600 + time.guardDelayMs(600, 100) < 100 + 2000, "and the viewer still waits then");
+        assertEquals(0, time.guardDelayMs(9000, 100));
+        assertThrows(IllegalArgumentException.class, () -> new AnswerDeadline(150, 150));
+        assertThrows(IllegalArgumentException.class, () -> new AnswerDeadline(Double.NaN, 1));
     }
 
     @Test
     void onlyARefusedMoveBringsAPlayerBack() {
-        assertEquals(SessionEnd.REFUSED, SessionEnd.of(true, true));
-        assertEquals(SessionEnd.MOVE_REFUSED, SessionEnd.of(true, false));
-        assertEquals(SessionEnd.FAILED, SessionEnd.of(false, true));
-        assertEquals(SessionEnd.MOVE_FAILED, SessionEnd.of(false, false));
+        assertEquals(SessionEnd.REFUSED, SessionEnd.fromFinalAnswer(true, true));
+        assertEquals(SessionEnd.MOVE_REFUSED, SessionEnd.fromFinalAnswer(true, false));
+        assertEquals(SessionEnd.FAILED, SessionEnd.fromFinalAnswer(false, true));
+        assertEquals(SessionEnd.MOVE_FAILED, SessionEnd.fromFinalAnswer(false, false));
         for (SessionEnd end : SessionEnd.values()) {
-            assertEquals(end == SessionEnd.MOVE_REFUSED, end.told() == SessionEnd.Told.COME_AGAIN);
+            assertEquals(end == SessionEnd.MOVE_REFUSED, end.retryAdvice() == SessionEnd.RetryAdvice.RETRY_LATER);
         }
-        assertEquals("move-refused", SessionEnd.MOVE_REFUSED.word());
+        assertEquals("move-refused", SessionEnd.MOVE_REFUSED.wireName());
     }
 
     /** Beside a plain map: kept for its time and no longer, the newest are those that stay. */
@@ -50,7 +50,7 @@
         for (int i = 0; i < ids.size(); i++) {
             now += ids.get(i) * 7;
             String id = "s" + ids.get(i);
-            kept.over(now, id, i);
+            kept.put(now, id, i);
             plain.put(id, new double[] {now, i});
             assertTrue(kept.size() <= most);
             for (Map.Entry<String, double[]> each : plain.entrySet()) {
--- a/decisions/src/test/java/spanrill/decisions/OutcomeTableTest.java
+++ b/decisions/src/test/java/spanrill/decisions/OutcomeTableTest.java
@@ -19,24 +19,24 @@
     @EnumSource(Event.class)
     void everyEventHasAnOutcomeAtEveryStage(Event event) {
         for (Stage stage : Stage.values()) {
-            assertNotNull(OutcomeTable.read(stage, event), stage + " " + event);
+            assertNotNull(OutcomeTable.outcomeOf(stage, event), stage + " " + event);
         }
     }
 
     @ParameterizedTest
     @EnumSource(Event.class)
     void beforeAByteIsWrittenOnlyACallOffIsNoProof(Event event) {
-        Outcome connecting = OutcomeTable.read(Stage.CONNECTING, event);
-        assertEquals(event != Event.CALLED_OFF, connecting.neverRan(), event + " gave " + connecting);
-        assertEquals(connecting, OutcomeTable.read(Stage.CONNECTED, event));
+        Outcome connecting = OutcomeTable.outcomeOf(Stage.CONNECTING, event);
+        assertEquals(event != Event.CANCELLED, connecting.neverRan(), event + " gave " + connecting);
+        assertEquals(connecting, OutcomeTable.outcomeOf(Stage.CONNECTED, event));
     }
 
     @ParameterizedTest
     @EnumSource(Event.class)
     void afterAByteIsWrittenOnlyTheBoxsOwnWordIsProof(Event event) {
-        boolean word = event == Event.TURNED_AWAY || event == Event.SETTLED_UNSEEN;
-        assertEquals(word, OutcomeTable.read(Stage.WRITTEN, event).neverRan(), event.name());
-        assertFalse(OutcomeTable.read(Stage.ANSWERING, event).neverRan(), event.name());
+        boolean word = event == Event.REJECTED_BEFORE_START || event == Event.PROVEN_NEVER_RAN;
+        assertEquals(word, OutcomeTable.outcomeOf(Stage.WRITTEN, event).neverRan(), event.name());
+        assertFalse(OutcomeTable.outcomeOf(Stage.ANSWERING, event).neverRan(), event.name());
     }
 
     @ParameterizedTest
@@ -46,25 +46,25 @@
         "WRITTEN,CLOSED,RESET",
         "WRITTEN,TIMED_OUT,TIMEOUT",
         "CONNECTING,TIMED_OUT,CONNECT_FAILED",
-        "WRITTEN,TURNED_AWAY,FULL",
+        "WRITTEN,REJECTED_BEFORE_START,FULL",
         "ANSWERING,CLOSED,RESET",
         "WRITTEN,MALFORMED,ERROR",
-        "CONNECTING,NO_ROOM,FULL",
+        "CONNECTING,POOL_EXHAUSTED,FULL",
         "WRITTEN,TOMBSTONED,ERROR",
         "CONNECTED,RESET,CONNECT_FAILED"
     })
     void namesTheOutcome(Stage stage, Event event, Outcome outcome) {
-        assertEquals(outcome, OutcomeTable.read(stage, event));
+        assertEquals(outcome, OutcomeTable.outcomeOf(stage, event));
     }
 
     @Test
     void onlyAKnownReasonTurnsAway() {
-        assertNull(OutcomeTable.status(200, null));
-        assertEquals(Event.TURNED_AWAY, OutcomeTable.status(503, "places"));
-        assertEquals(Event.ERROR_STATUS, OutcomeTable.status(503, null));
-        assertEquals(Event.ERROR_STATUS, OutcomeTable.status(503, "tired"));
-        assertEquals(Event.ERROR_STATUS, OutcomeTable.status(500, "places"));
-        assertEquals(Event.TOMBSTONED, OutcomeTable.status(409, null));
-        assertTrue(OutcomeTable.status(404, null) == Event.ERROR_STATUS);
+        assertNull(OutcomeTable.classifyStatus(200, null));
+        assertEquals(Event.REJECTED_BEFORE_START, OutcomeTable.classifyStatus(503, "places"));
+        assertEquals(Event.ERROR_STATUS, OutcomeTable.classifyStatus(503, null));
+        assertEquals(Event.ERROR_STATUS, OutcomeTable.classifyStatus(503, "tired"));
+        assertEquals(Event.ERROR_STATUS, OutcomeTable.classifyStatus(500, "places"));
+        assertEquals(Event.TOMBSTONED, OutcomeTable.classifyStatus(409, null));
+        assertTrue(OutcomeTable.classifyStatus(404, null) == Event.ERROR_STATUS);
     }
 }
--- a/decisions/src/test/java/spanrill/decisions/SessionStateTest.java
+++ b/decisions/src/test/java/spanrill/decisions/SessionStateTest.java
@@ -28,14 +28,14 @@
         boolean mayHaveRun = false;
         for (int i = 0; i < events.size(); i++) {
             Event event = events.get(i);
-            boolean may = state.may(event);
+            boolean may = state.allows(event);
             try {
                 if (event == Event.ATTEMPT_ENDED) {
                     state.attemptEnded(outcomes.get(i));
                     mayHaveRun |= !outcomes.get(i).neverRan();
                     out = false;
                 } else {
-                    state.on(event);
+                    state.apply(event);
                     if (event == Event.SEND) {
                         assertFalse(out, "two attempts out");
                         assertFalse(once && mayHaveRun && first == null, "a paid set-up sent again");
@@ -51,36 +51,36 @@
                     }
                 }
                 assertTrue(may);
-            } catch (RuleFault fault) {
+            } catch (IllegalTransitionException fault) {
                 assertFalse(may);
             }
             if (first != null) {
                 assertEquals(first, state.answer(), "a second answer");
             }
             first = state.answer();
-            assertEquals(out && state.phase() != Phase.OVER, state.attemptOut());
+            assertEquals(out && state.phase() != Phase.OVER, state.hasOpenAttempt());
         }
     }
 
     @Test
     void aPaidSessionThatMayHaveRunCanOnlyFail() {
         SessionState state = new SessionState(true);
-        state.on(Event.SEND);
+        state.apply(Event.SEND);
         state.attemptEnded(Outcome.TIMEOUT);
-        assertThrows(RuleFault.class, () -> state.on(Event.SEND));
-        assertThrows(RuleFault.class, () -> state.on(Event.REFUSE));
-        state.on(Event.FAIL);
+        assertThrows(IllegalTransitionException.class, () -> state.apply(Event.SEND));
+        assertThrows(IllegalTransitionException.class, () -> state.apply(Event.REFUSE));
+        state.apply(Event.FAIL);
         assertEquals(Answer.FAILED, state.answer());
     }
 
     @Test
     void proofLetsAPaidSessionGoOn() {
         SessionState state = new SessionState(true);
-        state.on(Event.SEND);
+        state.apply(Event.SEND);
         state.attemptEnded(Outcome.FULL);
-        state.on(Event.SEND);
+        state.apply(Event.SEND);
         state.attemptEnded(Outcome.CONNECT_FAILED);
-        state.on(Event.REFUSE);
+        state.apply(Event.REFUSE);
         assertEquals(2, state.attempts());
         assertFalse(state.mayHaveRun());
     }
@@ -88,23 +88,23 @@
     @Test
     void aMoveSetsAPaidSessionUpElsewhereWithoutASecondAnswer() {
         SessionState state = new SessionState(true);
-        state.on(Event.SEND);
-        state.on(Event.PLAYS);
-        state.on(Event.MOVE);
-        state.on(Event.SEND);
+        state.apply(Event.SEND);
+        state.apply(Event.PLAYS);
+        state.apply(Event.MOVE);
+        state.apply(Event.SEND);
         state.attemptEnded(Outcome.RESET);
-        state.on(Event.SEND);
-        state.on(Event.PLAYS);
+        state.apply(Event.SEND);
+        state.apply(Event.PLAYS);
         assertEquals(Phase.PLAYING, state.phase());
         assertEquals(Answer.PLAYS, state.answer());
-        state.on(Event.END);
-        assertThrows(RuleFault.class, () -> state.on(Event.FAIL));
+        state.apply(Event.END);
+        assertThrows(IllegalTransitionException.class, () -> state.apply(Event.FAIL));
     }
 
     @Test
     void anAttemptsEndNeedsItsOutcome() {
         SessionState state = new SessionState(false);
-        state.on(Event.SEND);
-        assertThrows(RuleFault.class, () -> state.on(Event.ATTEMPT_ENDED));
+        state.apply(Event.SEND);
+        assertThrows(IllegalTransitionException.class, () -> state.apply(Event.ATTEMPT_ENDED));
     }
 }
--- a/decisions/src/test/java/spanrill/decisions/WatchRetryPolicyTest.java
+++ b/decisions/src/test/java/spanrill/decisions/WatchRetryPolicyTest.java
@@ -35,33 +35,33 @@
             @ForAll long seed,
             @ForAll @Size(min = 1, max = 30) List<Failure> failures,
             @ForAll @IntRange(min = 0, max = 60_000) int outageMs) {
-        WatchRetryPolicy policy = new WatchRetryPolicy(seed);
+        DiscoveryRetryPolicy policy = new DiscoveryRetryPolicy(seed);
         double askedAt = 0;
         int calls = 0;
-        policy.asked(0);
+        policy.onRequest(0);
         fail(policy, failures.get(0), 0);
         double now = 0;
         while (askedAt < outageMs) {
             now += TICK_MS;
             assertTrue(now < outageMs + MOST_MS, "not asked " + (now - outageMs) + " ms after its return");
-            if (policy.due(now)) {
+            if (policy.isRetryDue(now)) {
                 askedAt = now;
-                policy.asked(now);
+                policy.onRequest(now);
                 fail(policy, failures.get(++calls % failures.size()), now);
             }
         }
     }
 
-    private static void fail(WatchRetryPolicy policy, Failure failure, double now) {
+    private static void fail(DiscoveryRetryPolicy policy, Failure failure, double now) {
         switch (failure) {
-            case REFUSED -> policy.broken(now + 1);
-            case CONNECT_TIMED_OUT -> policy.broken(now + CONNECT_MS);
-            case HEAD_ONLY -> policy.answered(now + 5);
+            case REFUSED -> policy.onFailure(now + 1);
+            case CONNECT_TIMED_OUT -> policy.onFailure(now + CONNECT_MS);
+            case HEAD_ONLY -> policy.onResponse(now + 5);
             case CUT_IN_AN_EVENT -> {
-                policy.heard(now + 10);
-                policy.broken(now + 20);
+                policy.onData(now + 10);
+                policy.onFailure(now + 20);
             }
-            case SILENT_AFTER_AN_EVENT -> policy.heard(now + 10);
+            case SILENT_AFTER_AN_EVENT -> policy.onData(now + 10);
             default -> {}
         }
     }
--- a/emulator/src/main/java/spanrill/emulator/BoxLinks.java
+++ b/emulator/src/main/java/spanrill/emulator/BoxLinks.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import spanrill.SessionControl.Load;
 import spanrill.SessionControl.Outcome;
-import spanrill.decisions.CallOffProof;
-import spanrill.decisions.LostSetUp;
+import spanrill.decisions.CancellationProof;
+import spanrill.decisions.FailedSetUpAction;
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.OutcomeTable.Event;
 import spanrill.decisions.OutcomeTable.Stage;
@@ -164,7 +164,7 @@
         public void status(int status, String reason, Load told) {
             front.runAfter(way(box), () -> {
                 load = told;
-                finish(OutcomeTable.status(status, reason));
+                finish(OutcomeTable.classifyStatus(status, reason));
             });
         }
 
@@ -188,17 +188,17 @@
             if (over || settling) {
                 return;
             }
-            Outcome outcome = OutcomeTable.read(stage, event);
-            switch (LostSetUp.of(stage, outcome, order.spends())) {
-                case ASK_BOX -> {
+            Outcome outcome = OutcomeTable.outcomeOf(stage, event);
+            switch (FailedSetUpAction.choose(stage, outcome, order.spends())) {
+                case QUERY_BOX -> {
                     settling = true;
                     exchange(box, order.key(), world.costs().settleMs(), answer -> {
                         boolean neverRan = answer != null
-                                && CallOffProof.neverRan(answer.ran(), answer.upMs(), world.now() - sentAt);
-                        ended(neverRan ? OutcomeTable.read(stage, Event.SETTLED_UNSEEN) : outcome);
+                                && CancellationProof.provesNeverRan(answer.ran(), answer.upMs(), world.now() - sentAt);
+                        ended(neverRan ? OutcomeTable.outcomeOf(stage, Event.PROVEN_NEVER_RAN) : outcome);
                     });
                 }
-                case CALL_OFF -> {
+                case CANCEL -> {
                     exchange(box, order.key(), world.costs().controlMs(), answer -> {});
                     ended(outcome);
                 }
@@ -216,7 +216,7 @@
 
         @Override
         public Outcome abandon(Event why) {
-            Outcome outcome = OutcomeTable.read(stage, why);
+            Outcome outcome = OutcomeTable.outcomeOf(stage, why);
             if (!over) {
                 over = true;
                 out.remove(this);
--- a/emulator/src/main/java/spanrill/emulator/FrontPlan.java
+++ b/emulator/src/main/java/spanrill/emulator/FrontPlan.java
@@ -7,7 +7,7 @@
 import spanrill.SessionControl;
 import spanrill.day.Day;
 import spanrill.day.FleetPlan;
-import spanrill.decisions.AnswerTime;
+import spanrill.decisions.AnswerDeadline;
 import spanrill.session.CoreSettings;
 import spanrill.session.SessionType;
 
@@ -31,7 +31,8 @@
                     name, c.aimMs(), c.worth(), c.once(), c.floor(), Math.min(c.top(), highest), c.scale(), c.seats()));
             types.put(
                     name,
-                    new SessionType(c.once(), c.floor(), c.scale(), new AnswerTime(c.patienceMs(), ANSWER_MARGIN_MS)));
+                    new SessionType(
+                            c.once(), c.floor(), c.scale(), new AnswerDeadline(c.patienceMs(), ANSWER_MARGIN_MS)));
         });
         double links = fleet.linksKb();
         Day.Rules rules = day.rules();
--- a/emulator/src/main/java/spanrill/emulator/Relay.java
+++ b/emulator/src/main/java/spanrill/emulator/Relay.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 import java.util.function.IntToLongFunction;
-import spanrill.decisions.RungGate;
-import spanrill.decisions.SegmentRetry;
+import spanrill.decisions.RungLimiter;
+import spanrill.decisions.SegmentRetryPolicy;
 import spanrill.decisions.SessionEnd;
 import spanrill.decisions.SessionState.Phase;
 import spanrill.session.Session;
@@ -89,10 +89,10 @@
         }
         if (phase != Phase.PLAYING) {
             SessionEnd why = session.end();
-            end(why != null && why.told() == SessionEnd.Told.COME_AGAIN ? 503 : 410, why);
+            end(why != null && why.retryAdvice() == SessionEnd.RetryAdvice.RETRY_LATER ? 503 : 410, why);
             return;
         }
-        rung = RungGate.serve(asked, session.rung(), session.type().floor());
+        rung = RungLimiter.effectiveRung(asked, session.rung(), session.type().floor());
         bytes = length.applyAsLong(rung);
         key = session.key();
         tries++;
@@ -165,14 +165,14 @@
             if (over) {
                 return;
             }
-            SegmentRetry.Choice choice = SegmentRetry.of(started, status, tries);
+            SegmentRetryPolicy.Decision choice = SegmentRetryPolicy.decide(started, status, tries);
             if (choice.sessionLost()) {
                 front.core().lost(key, SessionEnd.BOX_FORGOT);
             }
-            switch (choice.act()) {
-                case CUT -> end(0, null);
-                case GIVE_UP, NO_SUCH_RANGE -> end(502, null);
-                default -> front.runAfter(choice.afterMs(), this::run);
+            switch (choice.action()) {
+                case ABORT -> end(0, null);
+                case GIVE_UP, RANGE_NOT_SATISFIABLE -> end(502, null);
+                default -> front.runAfter(choice.retryDelayMs(), this::run);
             }
         });
     }
--- a/emulator/src/main/java/spanrill/emulator/Viewer.java
+++ b/emulator/src/main/java/spanrill/emulator/Viewer.java
@@ -385,7 +385,8 @@
 
     private void broken(int status, SessionEnd end) {
         download = null;
-        world.tap().put(new TapEvent.Broke(now(), tokenId, front.number(), status, end == null ? null : end.word()));
+        world.tap()
+                .put(new TapEvent.Broke(now(), tokenId, front.number(), status, end == null ? null : end.wireName()));
         follow(player.lost(now(), true), "broken");
     }
 
@@ -399,14 +400,14 @@
         Download(Next.Fetch fetch) {
             this.fetch = fetch;
             double ms = lengthMs();
-            double audio = TrackRates.audio(
+            double audio = TrackRates.audioRate(
                     day.titles().audioKb(), kb(day.classes().get(traits.cls()).floor()));
             relay = new Relay(
                     world,
                     front,
                     session,
                     fetch.rung() + day.classes().get(traits.cls()).floor(),
-                    rung -> Math.max(1, Math.round((TrackRates.video(kb(rung), audio) + audio) * ms)),
+                    rung -> Math.max(1, Math.round((TrackRates.videoRate(kb(rung), audio) + audio) * ms)),
                     this::came);
         }
 
--- a/front/src/main/java/spanrill/front/FrontDaemon.java
+++ b/front/src/main/java/spanrill/front/FrontDaemon.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import spanrill.decisions.BoxBook;
+import spanrill.decisions.BoxDirectory;
 import spanrill.decisions.ConnectionBudget;
 import spanrill.front.box.HttpBoxSide;
 import spanrill.front.dash.DashViewerSide;
@@ -21,7 +21,7 @@
 import spanrill.front.token.TokenGate;
 import spanrill.front.token.TokenKeys;
 import spanrill.loop.Clock;
-import spanrill.loop.LoopScheduler;
+import spanrill.loop.EventLoopScheduler;
 import spanrill.session.SessionCore;
 import spanrill.session.SpentTokenStore;
 import spanrill.wire.http.HttpFault;
@@ -62,7 +62,7 @@
         tokens = TokenStore.open(base.resolve(settings.state()), loop);
         core = new SessionCore(
                 settings.core(),
-                new SessionCore.Host(new LoopScheduler(loop, clock), EventLog.sink(), tokens, new SessionNames()));
+                new SessionCore.Host(new EventLoopScheduler(loop, clock), EventLog.sink(), tokens, new SessionNames()));
         core.onReady(() -> ready.complete(null));
         tokens.kept().forEach((token, kept) -> {
             if (kept.expiresAt() > clock.now()) {
@@ -71,7 +71,7 @@
         });
         gate = new TokenGate(
                 keys, settings.limits().tokenThreads(), settings.limits().tokenWaiting(), clock::now);
-        BoxBook book = new BoxBook(settings.limits().boxes());
+        BoxDirectory book = new BoxDirectory(settings.limits().boxes());
         boxes = new HttpBoxSide(settings, loop, core, book::box);
         list = new ListClient(settings, loop, core, book, new KeptList(base.resolve(settings.state())), disk);
         DashViewerSide viewers = new DashViewerSide(settings, core, boxes, gate, clock);
@@ -126,12 +126,12 @@
     }
 
     private boolean admit(Channel channel) {
-        boolean stays = connections.opened();
+        boolean stays = connections.tryOpen();
         if (stays) {
-            channel.closeFuture().addListener(f -> connections.closed());
+            channel.closeFuture().addListener(f -> connections.onClosed());
         }
         if (connections.becameFull()) {
-            EventLog.warn("limit.connections", "open", connections.open(), "turnedAway", connections.turnedAway());
+            EventLog.warn("limit.connections", "open", connections.open(), "turnedAway", connections.rejected());
         }
         return stays;
     }
--- a/front/src/main/java/spanrill/front/FrontSettings.java
+++ b/front/src/main/java/spanrill/front/FrontSettings.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import spanrill.SessionControl;
-import spanrill.decisions.AnswerTime;
+import spanrill.decisions.AnswerDeadline;
 import spanrill.session.CoreSettings;
 import spanrill.session.SessionType;
 import spanrill.settings.Default;
@@ -299,7 +299,7 @@
         classes.forEach((name, c) -> types.put(
                 name,
                 new SessionType(
-                        c.once(), c.floor(), c.scale(), new AnswerTime(c.patienceMs(), limits.answerMarginMs()))));
+                        c.once(), c.floor(), c.scale(), new AnswerDeadline(c.patienceMs(), limits.answerMarginMs()))));
         return new CoreSettings(
                 module(),
                 seed,
--- a/front/src/main/java/spanrill/front/box/BoxPool.java
+++ b/front/src/main/java/spanrill/front/box/BoxPool.java
@@ -57,7 +57,7 @@
             }
             case OPEN -> open(taker);
             case WAIT -> queue.add(taker);
-            default -> taker.none(OutcomeTable.Event.NO_ROOM);
+            default -> taker.none(OutcomeTable.Event.POOL_EXHAUSTED);
         }
     }
 
--- a/front/src/main/java/spanrill/front/box/HttpBoxSide.java
+++ b/front/src/main/java/spanrill/front/box/HttpBoxSide.java
@@ -10,8 +10,8 @@
 import java.util.function.Function;
 import spanrill.SessionControl.Load;
 import spanrill.SessionControl.Outcome;
-import spanrill.decisions.BoxBook.Box;
-import spanrill.decisions.CallOffProof;
+import spanrill.decisions.BoxDirectory.Box;
+import spanrill.decisions.CancellationProof;
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.PoolPolicy;
 import spanrill.front.FrontSettings;
@@ -126,7 +126,7 @@
             double upMs = head == null || head.headers().get(BoxLink.UP_MS) == null
                     ? Double.NaN
                     : BoxLink.number(head.headers().get(BoxLink.UP_MS));
-            once.accept(CallOffProof.neverRan(ran == null ? null : ran.equals("1"), upMs, now() - sentAt));
+            once.accept(CancellationProof.provesNeverRan(ran == null ? null : ran.equals("1"), upMs, now() - sentAt));
         });
     }
 
--- a/front/src/main/java/spanrill/front/box/NotesStream.java
+++ b/front/src/main/java/spanrill/front/box/NotesStream.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import spanrill.SessionControl.NoteKind;
-import spanrill.decisions.BoxWatch;
+import spanrill.decisions.BoxProcessMonitor;
 import spanrill.decisions.SessionEnd;
 import spanrill.front.EventLog;
 import spanrill.session.SessionCore;
@@ -19,7 +19,7 @@
 
 /**
  * The notes of one box. It also shows whether the box's process lives; what a broken or refused stream says
- * of that, and when it is opened anew, is decided by {@link BoxWatch}.
+ * of that, and when it is opened anew, is decided by {@link BoxProcessMonitor}.
  */
 final class NotesStream implements HttpClientConnection.Listener {
     private static final int MOST_LINE = 256;
@@ -32,7 +32,7 @@
     private final EventLoop loop;
     private final String box;
     private final InetSocketAddress address;
-    private final BoxWatch watch;
+    private final BoxProcessMonitor watch;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(64);
     private HttpClientConnection connection;
     private boolean closed;
@@ -43,7 +43,7 @@
         this.loop = loop;
         this.box = box;
         this.address = address;
-        watch = new BoxWatch(LEAST_MS, MOST_MS, box.hashCode());
+        watch = new BoxProcessMonitor(LEAST_MS, MOST_MS, box.hashCode());
     }
 
     void open() {
@@ -60,7 +60,7 @@
                 },
                 cause -> {
                     core.boxLost(box, SessionEnd.BOX_GONE);
-                    follow(watch.unreachable(core.anyAt(box)));
+                    follow(watch.onUnreachable(core.anyAt(box)));
                 });
     }
 
@@ -71,13 +71,13 @@
         }
     }
 
-    private void follow(BoxWatch.Next next) {
+    private void follow(BoxProcessMonitor.Reaction next) {
         if (closed) {
             return;
         }
-        if (next.openAfterMs() < 0) {
+        if (next.reopenDelayMs() < 0) {
             side.forgetNotes(box, this);
-        } else if (next.openAfterMs() == 0) {
+        } else if (next.reopenDelayMs() == 0) {
             open();
         } else {
             loop.schedule(
@@ -86,7 +86,7 @@
                             open();
                         }
                     },
-                    (long) next.openAfterMs(),
+                    (long) next.reopenDelayMs(),
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -100,7 +100,7 @@
 
     @Override
     public void data(ByteBuf part) {
-        watch.told();
+        watch.onData();
         while (part.isReadable()) {
             byte next = part.readByte();
             if (next == '\n') {
@@ -125,7 +125,7 @@
         }
         switch (note.kind()) {
             case HELLO -> {
-                SessionEnd lost = watch.hello(note.value());
+                SessionEnd lost = watch.onHello(note.value());
                 if (lost != null) {
                     core.boxLost(box, lost);
                 }
@@ -145,6 +145,6 @@
     @Override
     public void lost(HttpClientConnection.Loss loss, String reason) {
         line.reset();
-        follow(watch.broken(core.anyAt(box)));
+        follow(watch.onStreamBroken(core.anyAt(box)));
     }
 }
--- a/front/src/main/java/spanrill/front/box/SetUpAttempt.java
+++ b/front/src/main/java/spanrill/front/box/SetUpAttempt.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import spanrill.SessionControl.Load;
 import spanrill.SessionControl.Outcome;
-import spanrill.decisions.LostSetUp;
+import spanrill.decisions.FailedSetUpAction;
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.OutcomeTable.Event;
 import spanrill.decisions.OutcomeTable.Stage;
@@ -70,7 +70,7 @@
     @Override
     public void head(ResponseHead head) {
         load = BoxLink.load(head.headers().get(BoxLink.LOAD));
-        refusal = OutcomeTable.status(head.status(), head.headers().get(BoxLink.REASON));
+        refusal = OutcomeTable.classifyStatus(head.status(), head.headers().get(BoxLink.REASON));
         if (refusal == null) {
             stage = Stage.ANSWERING;
         }
@@ -105,17 +105,17 @@
         if (over || settling) {
             return;
         }
-        Outcome outcome = OutcomeTable.read(stage, event);
-        switch (LostSetUp.of(stage, outcome, order.spends())) {
-            case ASK_BOX -> {
+        Outcome outcome = OutcomeTable.outcomeOf(stage, event);
+        switch (FailedSetUpAction.choose(stage, outcome, order.spends())) {
+            case QUERY_BOX -> {
                 settling = true;
                 side.settle(
                         order.box(),
                         order.key(),
                         sentAt,
-                        neverRan -> ended(neverRan ? OutcomeTable.read(stage, Event.SETTLED_UNSEEN) : outcome));
+                        neverRan -> ended(neverRan ? OutcomeTable.outcomeOf(stage, Event.PROVEN_NEVER_RAN) : outcome));
             }
-            case CALL_OFF -> {
+            case CANCEL -> {
                 side.callOff(order.box(), order.key());
                 ended(outcome);
             }
@@ -132,7 +132,7 @@
 
     @Override
     public Outcome abandon(Event why) {
-        Outcome outcome = OutcomeTable.read(stage, why);
+        Outcome outcome = OutcomeTable.outcomeOf(stage, why);
         if (!over) {
             over = true;
             if (connection != null) {
--- a/front/src/main/java/spanrill/front/dash/ManifestCall.java
+++ b/front/src/main/java/spanrill/front/dash/ManifestCall.java
@@ -82,11 +82,11 @@
     private static Mpd mpd(FrontSettings settings, Session session) {
         Title title = session.title();
         int floor = session.type().floor();
-        double audio = TrackRates.audio(title.audioKb(), kb(settings, session, floor));
+        double audio = TrackRates.audioRate(title.audioKb(), kb(settings, session, floor));
         Timeline timeline = Timeline.of(title.durationMs(), title.segmentMs());
         List<Mpd.Representation> rungs = new ArrayList<>();
         for (int rung = floor; rung <= Math.max(floor, session.rung()); rung++) {
-            double video = TrackRates.video(kb(settings, session, rung), audio);
+            double video = TrackRates.videoRate(kb(settings, session, rung), audio);
             rungs.add(new Mpd.Representation(Integer.toString(rung), Math.round(video * BITS), VIDEO_CODECS));
         }
         List<Mpd.AdaptationSet> sets = new ArrayList<>();
--- a/front/src/main/java/spanrill/front/dash/Problem.java
+++ b/front/src/main/java/spanrill/front/dash/Problem.java
@@ -32,7 +32,7 @@
     static void over(Exchange exchange, int status, String type, String detail, SessionEnd end, double retryAfterMs) {
         Headers headers = Headers.of("cache-control", "no-store", DashViewerSide.ANSWER, "none");
         if (end != null) {
-            headers.add(DashViewerSide.OVER, end.word());
+            headers.add(DashViewerSide.OVER, end.wireName());
         }
         write(exchange, status, type, headers, detail, retryAfterMs);
     }
--- a/front/src/main/java/spanrill/front/dash/Relay.java
+++ b/front/src/main/java/spanrill/front/dash/Relay.java
@@ -2,8 +2,8 @@
 
 import io.netty.buffer.ByteBuf;
 import java.util.concurrent.TimeUnit;
-import spanrill.decisions.RungGate;
-import spanrill.decisions.SegmentRetry;
+import spanrill.decisions.RungLimiter;
+import spanrill.decisions.SegmentRetryPolicy;
 import spanrill.decisions.SessionEnd;
 import spanrill.decisions.SessionState.Phase;
 import spanrill.front.box.SegmentSource;
@@ -62,7 +62,8 @@
         exchange.onWritable(() -> reading(true));
         int rung = asked == NO_RUNG
                 ? session.rung()
-                : RungGate.serve(asked, session.rung(), session.type().floor());
+                : RungLimiter.effectiveRung(
+                        asked, session.rung(), session.type().floor());
         tag = "\"" + session.title().name() + "." + (asked == NO_RUNG ? "" : rung + ".") + name + "\"";
         if (tries == 0) {
             told();
@@ -102,7 +103,7 @@
 
     private void over() {
         SessionEnd end = session.end();
-        if (end != null && end.told() == SessionEnd.Told.COME_AGAIN) {
+        if (end != null && end.retryAdvice() == SessionEnd.RetryAdvice.RETRY_LATER) {
             Problem.over(
                     exchange, 503, "move-refused", "No box can go on with this session.", end, session.retryAfterMs());
         } else {
@@ -156,16 +157,16 @@
         if (exchange.over()) {
             return;
         }
-        SegmentRetry.Choice choice = SegmentRetry.of(exchange.started(), status, tries);
+        SegmentRetryPolicy.Decision choice = SegmentRetryPolicy.decide(exchange.started(), status, tries);
         if (choice.sessionLost()) {
             core.lost(key, SessionEnd.BOX_FORGOT);
         }
-        switch (choice.act()) {
-            case CUT -> exchange.abort();
-            case NO_SUCH_RANGE -> exchange.respond(416, new Headers(), new byte[0]);
+        switch (choice.action()) {
+            case ABORT -> exchange.abort();
+            case RANGE_NOT_SATISFIABLE -> exchange.respond(416, new Headers(), new byte[0]);
             case GIVE_UP -> Problem.answer(exchange, 502, "segment-lost", "none", "The segment could not be had.", 0);
             default ->
-                exchange.channel().eventLoop().schedule(this::run, (long) choice.afterMs(), TimeUnit.MILLISECONDS);
+                exchange.channel().eventLoop().schedule(this::run, (long) choice.retryDelayMs(), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/front/src/main/java/spanrill/front/list/ListClient.java
+++ b/front/src/main/java/spanrill/front/list/ListClient.java
@@ -12,7 +12,7 @@
 import spanrill.SessionControl.ListKind;
 import spanrill.SessionControl.Server;
 import spanrill.decisions.Backoff;
-import spanrill.decisions.BoxBook;
+import spanrill.decisions.BoxDirectory;
 import spanrill.front.EventLog;
 import spanrill.front.FrontSettings;
 import spanrill.session.SessionCore;
@@ -33,7 +33,7 @@
     private final FrontSettings settings;
     private final EventLoop loop;
     private final SessionCore core;
-    private final BoxBook book;
+    private final BoxDirectory book;
     private final KeptList kept;
     private final Executor disk;
     private final Backoff backoff;
@@ -45,7 +45,7 @@
 
     /** A client that fills the book; the list is kept by {@code disk}, off the loop. */
     public ListClient(
-            FrontSettings settings, EventLoop loop, SessionCore core, BoxBook book, KeptList kept, Executor disk) {
+            FrontSettings settings, EventLoop loop, SessionCore core, BoxDirectory book, KeptList kept, Executor disk) {
         this.settings = settings;
         this.loop = loop;
         this.core = core;
@@ -61,8 +61,10 @@
             byte[] json = kept.read();
             if (json != null) {
                 ListDocument document = ListDocument.parse(json);
-                BoxBook.Sheet sheet = document.sheet();
-                tell(new BoxBook.Sheet(ListKind.KEPT, sheet.epoch(), -1, sheet.version(), sheet.boxes()), document);
+                BoxDirectory.ListUpdate sheet = document.sheet();
+                tell(
+                        new BoxDirectory.ListUpdate(ListKind.KEPT, sheet.epoch(), -1, sheet.version(), sheet.boxes()),
+                        document);
             }
         } catch (IOException | ListDocument.Fault e) {
             EventLog.warn("list.kept.unusable", "reason", e.getMessage());
@@ -129,7 +131,7 @@
     public void end() {
         late.cancel(false);
         if (status == 204) {
-            backoff.succeeded();
+            backoff.reset();
             poll();
             return;
         }
@@ -145,15 +147,15 @@
             } else if (document.sheet().kind() == ListKind.WHOLE) {
                 disk.execute(() -> keep(json));
             }
-            backoff.succeeded();
+            backoff.reset();
             poll();
         } catch (ListDocument.Fault fault) {
             failed("the list " + fault.getMessage());
         }
     }
 
-    private boolean tell(BoxBook.Sheet sheet, ListDocument document) {
-        List<Server> told = book.take(sheet);
+    private boolean tell(BoxDirectory.ListUpdate sheet, ListDocument document) {
+        List<Server> told = book.apply(sheet);
         if (told == null) {
             return false;
         }
@@ -185,7 +187,7 @@
         }
         EventLog.warn("list.failed", "reason", reason);
         core.servers(ListKind.FAILED, List.of());
-        loop.schedule(this::poll, (long) backoff.failed(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::poll, (long) backoff.nextDelayMs(), TimeUnit.MILLISECONDS);
     }
 
     /** Polls no more. */
--- a/front/src/main/java/spanrill/front/list/ListDocument.java
+++ b/front/src/main/java/spanrill/front/list/ListDocument.java
@@ -13,8 +13,8 @@
 import spanrill.SessionControl.ListKind;
 import spanrill.SessionControl.Server;
 import spanrill.SessionControl.ServerState;
-import spanrill.decisions.BoxBook.Box;
-import spanrill.decisions.BoxBook.Sheet;
+import spanrill.decisions.BoxDirectory;
+import spanrill.decisions.BoxDirectory.Box;
 import spanrill.session.Title;
 
 /**
@@ -26,7 +26,7 @@
  * @param sheet the boxes
  * @param titles the catalogue, or null when it didn't come along
  */
-public record ListDocument(Sheet sheet, Map<String, Title> titles) {
+public record ListDocument(BoxDirectory.ListUpdate sheet, Map<String, Title> titles) {
     private static final ObjectMapper JSON = JsonMapper.builder(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
                             .maxNestingDepth(16)
@@ -77,7 +77,7 @@
             }
         }
         return new ListDocument(
-                new Sheet(
+                new BoxDirectory.ListUpdate(
                         kind,
                         (long) number(root, "epoch", 0, 9e15),
                         (long) number(root, "base", -1, 9e15),
--- a/front/src/main/java/spanrill/front/token/TokenGate.java
+++ b/front/src/main/java/spanrill/front/token/TokenGate.java
@@ -99,13 +99,13 @@
         Waiting waiting = new Waiting(wish, loop, done);
         List<Waiting> shed;
         synchronized (room) {
-            shed = room.come(time.now(), waiting, wish.deadline(), wish.worth());
+            shed = room.enqueue(time.now(), waiting, wish.deadline(), wish.worth());
             room.notify();
         }
         shed.forEach(each -> each.tell(new Verdict(null, null)));
         return () -> {
             synchronized (room) {
-                room.left(waiting);
+                room.cancel(waiting);
             }
         };
     }
@@ -115,7 +115,7 @@
         while (!Thread.currentThread().isInterrupted()) {
             Waiting next;
             synchronized (room) {
-                next = room.next(time.now(), shed);
+                next = room.poll(time.now(), shed);
                 if (next == null && shed.isEmpty()) {
                     try {
                         room.wait();
@@ -130,7 +130,7 @@
                 double begin = time.now();
                 next.tell(look(next.wish));
                 synchronized (room) {
-                    room.served(time.now() - begin);
+                    room.recordServiceTime(time.now() - begin);
                 }
             }
         }
--- a/loop/src/main/java/spanrill/loop/Clock.java
+++ b/loop/src/main/java/spanrill/loop/Clock.java
@@ -9,7 +9,7 @@
     private final long start = System.nanoTime();
 
     /** Milliseconds from no particular beginning, for differences only; never goes back. */
-    public static double ticks() {
+    public static double monotonicMs() {
         return System.nanoTime() / 1e6;
     }
 
--- a/loop/src/main/java/spanrill/loop/LoopScheduler.java
+++ b/loop/src/main/java/spanrill/loop/EventLoopScheduler.java
@@ -6,12 +6,12 @@
 import spanrill.session.Scheduler;
 
 /** Time and timers of a core on a Netty loop. */
-public final class LoopScheduler implements Scheduler {
+public final class EventLoopScheduler implements Scheduler {
     private final EventLoop loop;
     private final Clock clock;
 
     /** Timers run on the loop, times are those of the clock. */
-    public LoopScheduler(EventLoop loop, Clock clock) {
+    public EventLoopScheduler(EventLoop loop, Clock clock) {
         this.loop = loop;
         this.clock = clock;
     }
--- a/loop/src/main/java/spanrill/loop/NextEventLoopIteration.java
+++ b/loop/src/main/java/spanrill/loop/NextIterationExecutor.java
@@ -9,11 +9,11 @@
  * reads its sockets one after the other, and timers run when that is over: what one event starts may be
  * against another that lies unread, as a viewer's close or a server's.
  */
-public final class NextEventLoopIteration implements Executor {
+public final class NextIterationExecutor implements Executor {
     private final EventLoop loop;
 
     /** On a loop; asked from that loop only. */
-    public NextEventLoopIteration(EventLoop loop) {
+    public NextIterationExecutor(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/node/src/main/java/spanrill/node/FrontNode.java
+++ b/node/src/main/java/spanrill/node/FrontNode.java
@@ -22,8 +22,8 @@
 import spanrill.decisions.FileDescriptorBudget;
 import spanrill.decisions.GracefulShutdown;
 import spanrill.loop.Clock;
-import spanrill.loop.LoopScheduler;
-import spanrill.loop.NextEventLoopIteration;
+import spanrill.loop.EventLoopScheduler;
+import spanrill.loop.NextIterationExecutor;
 import spanrill.node.client.ClientListener;
 import spanrill.node.config.NodeConfig;
 import spanrill.node.config.ServerListUpdate;
@@ -44,7 +44,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final NextEventLoopIteration nextIteration = new NextEventLoopIteration(loop);
+    private final NextIterationExecutor nextIteration = new NextIterationExecutor(loop);
     private final NodeConfig config;
     private final EventSink log;
     private final Scheduler scheduler;
@@ -60,10 +60,12 @@
     private FrontNode(NodeConfig config, EventSink log, EventSink trace, Runnable meanwhile) {
         this.config = config;
         this.log = log;
-        scheduler = new LoopScheduler(loop, new Clock());
+        scheduler = new EventLoopScheduler(loop, new Clock());
         FileDescriptorBudget shares = new FileDescriptorBudget(config.sockets());
-        viewers = new ClientListener(loop, new ConnectionBudget(shares.viewers()), config.retryAfter(), log, trace);
-        servers = new ConnectionPools(loop, limits(config), new ConnectionBudget(shares.servers()), log, trace);
+        viewers = new ClientListener(
+                loop, new ConnectionBudget(shares.maxViewerConnections()), config.retryAfter(), log, trace);
+        servers = new ConnectionPools(
+                loop, limits(config), new ConnectionBudget(shares.maxServerConnections()), log, trace);
         host = new SessionHost(
                 config.settings(),
                 scheduler,
@@ -100,7 +102,7 @@
         return new ServerLimits(
                 (int) Math.ceil(config.connectMs()),
                 config.idleMs(),
-                FailureDetector.silentMs(
+                FailureDetector.silenceThresholdMs(
                         config.settings().tellMs(), config.settings().seeMs()),
                 Math.min(MOST_ON_ONE, config.maxStreams()),
                 config.mayTest());
@@ -202,7 +204,7 @@
             }
             double began = scheduler.now();
             GracefulShutdown shutdown = new GracefulShutdown(config.deadlineMs());
-            host.answerWithin(shutdown.answerByMs());
+            host.answerWithin(shutdown.answerDeadlineMs());
             stopping = loop.scheduleAtFixedRate(
                     () -> stop(shutdown, began, done), STOP_LOOK_MS, STOP_LOOK_MS, TimeUnit.MILLISECONDS);
         });
@@ -210,7 +212,7 @@
 
     private void stop(GracefulShutdown shutdown, double began, Runnable done) {
         double sinceMs = scheduler.now() - began;
-        switch (shutdown.next(
+        switch (shutdown.nextStep(
                 sinceMs,
                 new GracefulShutdown.View(
                         viewers.size(),
@@ -218,7 +220,7 @@
                         host.moving() + servers.pendingReleases(),
                         viewers.hasUnflushed() || servers.hasUnflushed()))) {
             // What has arrived is read first: a request that lies unread is not to cross the end.
-            case DRAIN -> nextIteration.execute(() -> drain(began + shutdown.answerByMs(), NONE_ACCEPTED));
+            case DRAIN -> nextIteration.execute(() -> drain(began + shutdown.answerDeadlineMs(), NONE_ACCEPTED));
             case END -> {
                 stopping.cancel(false);
                 log.info(
--- a/node/src/main/java/spanrill/node/client/ClientConnection.java
+++ b/node/src/main/java/spanrill/node/client/ClientConnection.java
@@ -12,11 +12,9 @@
 import java.util.Set;
 import spanrill.decisions.AbuseLimiter;
 import spanrill.decisions.ClientConnectionState;
-import spanrill.decisions.ClientConnectionState.Intake;
 import spanrill.decisions.ClientConnectionState.Phase;
 import spanrill.decisions.CloseReason;
 import spanrill.decisions.ConnectionEviction;
-import spanrill.decisions.ConnectionEviction.Brought;
 import spanrill.decisions.ConnectionTimeouts;
 import spanrill.decisions.RecentAnswers;
 import spanrill.loop.Clock;
@@ -53,7 +51,7 @@
     private final Set<Long> openRequests = new LinkedHashSet<>();
     private final RecentAnswers recentAnswers = new RecentAnswers();
     private final ChannelFutureListener flushed = future -> flushed();
-    private final double acceptedAt = Clock.ticks();
+    private final double acceptedAt = Clock.monotonicMs();
     private double usefulAt = acceptedAt;
     private double flushedAt = acceptedAt;
     private double messageBeganAt = Double.NaN;
@@ -94,7 +92,7 @@
         reading = true;
         try {
             if (state.phase() == Phase.CLOSING) {
-                state.discarded(in.readableBytes());
+                state.onDiscarded(in.readableBytes());
             }
             if (state.readable()) {
                 decoder.feed(in, this::message);
@@ -118,7 +116,7 @@
         if (!decoder.within()) {
             return Double.NaN;
         }
-        return Double.isNaN(messageBeganAt) ? Clock.ticks() : messageBeganAt;
+        return Double.isNaN(messageBeganAt) ? Clock.monotonicMs() : messageBeganAt;
     }
 
     /** Takes one message; false when no more can be read. */
@@ -135,14 +133,14 @@
                     default -> free(message, false);
                 };
         if (useful) {
-            usefulAt = Clock.ticks();
+            usefulAt = Clock.monotonicMs();
         }
         return state.readable();
     }
 
     /** Charges a message that asks for nothing; returns whether it was useful. */
     private boolean free(Message message, boolean useful) {
-        if (abuse.free(Clock.ticks(), message.size())) {
+        if (abuse.chargeMessage(Clock.monotonicMs(), message.size())) {
             drain(CloseReason.ABUSE);
         }
         return useful;
@@ -165,13 +163,13 @@
         if (host.knows(setUp.session())) {
             return stands || repeated(setUp.session());
         }
-        if (!stands && recentAnswers.crosses(Clock.ticks(), setUp.session())) {
+        if (!stands && recentAnswers.crossesAnswer(Clock.monotonicMs(), setUp.session())) {
             return ignore(setUp.session(), "it crossed its answer");
         }
         if (!host.possible(setUp)) {
             return reject(setUp.session(), Cause.INVALID_CONTENTS, "not of these settings");
         }
-        if (state.intake() != Intake.SERVE) {
+        if (state.requestHandling() != ClientConnectionState.RequestHandling.SERVE) {
             return stands || turnAway(setUp.session());
         }
         proven = true;
@@ -201,7 +199,7 @@
     /** Refuses a request that arrives while the connection drains: it never ran, trying again is harmless. */
     private boolean turnAway(long session) {
         listener.rejected(this, session, "the connection is " + state.phase() + " for " + state.reason());
-        if (state.intake() == Intake.DISCARD) {
+        if (state.requestHandling() == ClientConnectionState.RequestHandling.DISCARD) {
             discardedRequests++;
             return false;
         }
@@ -212,7 +210,7 @@
     private boolean reject(long session, int cause, String why) {
         listener.rejected(this, session, why);
         release(session, cause, 0);
-        if (abuse.rejected(Clock.ticks())) {
+        if (abuse.chargeRejectedSetUp(Clock.monotonicMs())) {
             drain(CloseReason.ABUSE);
         }
         return false;
@@ -231,7 +229,7 @@
 
     private boolean ignore(long session, String why) {
         listener.rejected(this, session, why);
-        if (abuse.rejected(Clock.ticks())) {
+        if (abuse.chargeRejectedSetUp(Clock.monotonicMs())) {
             drain(CloseReason.ABUSE);
         }
         return false;
@@ -297,7 +295,7 @@
 
     private boolean release(long session, int cause, double stayAwayMs) {
         listener.sent(this, session, cause);
-        recentAnswers.answered(Clock.ticks(), session);
+        recentAnswers.recordAnswer(Clock.monotonicMs(), session);
         Message message = new Message(MessageType.RELEASE, session).withCause(cause);
         if (retryAfter && stayAwayMs >= 1) {
             message.with(Parameter.STAY_AWAY, Long.toString(Math.round(stayAwayMs)));
@@ -321,7 +319,7 @@
     }
 
     private void flushed() {
-        flushedAt = Clock.ticks();
+        flushedAt = Clock.monotonicMs();
         advance();
     }
 
@@ -339,11 +337,13 @@
     // ---- its end
 
     /** What counts where a descriptor is needed for a new connection. */
-    ConnectionEviction.Held held(double now) {
-        return new ConnectionEviction.Held(
+    ConnectionEviction.Candidate held(double now) {
+        return new ConnectionEviction.Candidate(
                 openRequests.size(),
                 standing,
-                served ? Brought.SERVICE : proven ? Brought.LITTLE : Brought.NOTHING,
+                served
+                        ? ConnectionEviction.Activity.SERVED
+                        : proven ? ConnectionEviction.Activity.NOT_SERVED : ConnectionEviction.Activity.NOTHING_USEFUL,
                 now - usefulAt);
     }
 
@@ -362,7 +362,7 @@
     /** Ends it where its time-outs say so, and goes on with an end that has begun. */
     void onTick(double now) {
         if (state.phase() == Phase.OPEN) {
-            ConnectionTimeouts.expired(new ConnectionTimeouts.View(
+            ConnectionTimeouts.expiryReason(new ConnectionTimeouts.View(
                             now - acceptedAt, now - usefulAt, openRequests.size(), standing, proven, messageMs(now)))
                     .ifPresent(this::drain);
         }
@@ -378,7 +378,7 @@
 
     /** Begins to end it, with the time for open requests that the reason states. */
     void drain(CloseReason reason) {
-        state.drain(Clock.ticks(), reason);
+        state.startDrain(Clock.monotonicMs(), reason);
         if (reason == CloseReason.EVICTED) {
             // Its descriptor is needed now, not when its client has closed.
             listener.closing(this);
@@ -388,7 +388,7 @@
 
     /** Begins to end it because the node shuts down; the last answers are given after {@code drainMs}. */
     void shutDown(double drainMs) {
-        state.drain(Clock.ticks(), CloseReason.SHUTDOWN, drainMs);
+        state.startDrain(Clock.monotonicMs(), CloseReason.SHUTDOWN, drainMs);
         advance();
     }
 
@@ -397,10 +397,10 @@
         if (reading || state.phase() == Phase.OPEN) {
             return;
         }
-        double now = Clock.ticks();
-        switch (state.next(now, view(now))) {
-            case FAIL_OPEN -> host.failAll(List.copyOf(openRequests));
-            case READ_FIRST -> readFirst();
+        double now = Clock.monotonicMs();
+        switch (state.nextStep(now, view(now))) {
+            case FAIL_OPEN_REQUESTS -> host.failAll(List.copyOf(openRequests));
+            case READ_INPUT -> readFirst();
             case SHUT_DOWN_OUTPUT -> {
                 listener.closing(this);
                 channel.shutdownOutput();
@@ -450,7 +450,7 @@
         if (state.phase() == Phase.CLOSED) {
             return;
         }
-        state.closed(reason);
+        state.onClosed(reason);
         listener.closed(new ClosedConnection(
                 toString(),
                 state.reason(),
@@ -458,7 +458,7 @@
                 openRequests.size(),
                 discardedRequests,
                 messages,
-                Clock.ticks() - acceptedAt));
+                Clock.monotonicMs() - acceptedAt));
         decoder.drop();
         host.linkEnded(new ArrayList<>(openRequests));
         openRequests.clear();
--- a/node/src/main/java/spanrill/node/client/ClientListener.java
+++ b/node/src/main/java/spanrill/node/client/ClientListener.java
@@ -18,7 +18,7 @@
 import spanrill.decisions.ConnectionEviction;
 import spanrill.decisions.ReceiveDelayEstimator;
 import spanrill.loop.Clock;
-import spanrill.loop.NextEventLoopIteration;
+import spanrill.loop.NextIterationExecutor;
 import spanrill.node.session.ClientLink;
 import spanrill.node.session.SessionHost;
 import spanrill.session.EventSink;
@@ -36,7 +36,7 @@
     private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(64 * 1024, 128 * 1024);
 
     private final EventLoop loop;
-    private final NextEventLoopIteration nextIteration;
+    private final NextIterationExecutor nextIteration;
     private final ConnectionBudget budget;
     private final ReceiveDelayEstimator unread = new ReceiveDelayEstimator(ROUND_MS);
     private final EventSink log;
@@ -49,13 +49,13 @@
     private SessionHost host;
     private ClientConnection lastGiven;
     private long accepted;
-    /** When a shutdown gives the last answers, on the clock of {@link Clock#ticks}; NaN: none is on. */
+    /** When a shutdown gives the last answers, on the clock of {@link Clock#monotonicMs}; NaN: none is on. */
     private double answerBy = Double.NaN;
 
     /** Connections within the budget; {@code retryAfter}: viewers may be told when to come again. */
     public ClientListener(EventLoop loop, ConnectionBudget budget, boolean retryAfter, EventSink log, EventSink trace) {
         this.loop = loop;
-        nextIteration = new NextEventLoopIteration(loop);
+        nextIteration = new NextIterationExecutor(loop);
         this.budget = budget;
         this.retryAfter = retryAfter;
         this.log = log;
@@ -67,13 +67,14 @@
         host = told;
         // After a round that reads: one that lay unread while the loop was busy must not be taken for idle.
         loop.scheduleAtFixedRate(() -> nextIteration.execute(this::onTick), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(() -> unread.round(Clock.ticks()), 0, ROUND_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> unread.onLoopIteration(Clock.monotonicMs()), 0, ROUND_MS, TimeUnit.MILLISECONDS);
         return Listening.bind(group, address, BACKLOG, MARKS, this::accept);
     }
 
     private void accept(SocketChannel channel) {
         accepted++;
-        if (!budget.opened() && !(makeRoom() && budget.opened())) {
+        if (!budget.tryOpen() && !(makeRoom() && budget.tryOpen())) {
             channel.close();
             if (budget.becameFull()) {
                 log.info("limit.viewers", "open", budget.open());
@@ -85,14 +86,14 @@
         channel.closeFuture().addListener(f -> forget(connection));
         channel.pipeline().addLast(connection);
         if (!Double.isNaN(answerBy)) {
-            connection.shutDown(answerBy - Clock.ticks());
+            connection.shutDown(answerBy - Clock.monotonicMs());
         }
     }
 
     private void forget(ClientConnection connection) {
         connections.remove(connection);
         if (!closing.remove(connection)) {
-            budget.closed();
+            budget.onClosed();
         }
         if (lastGiven == connection) {
             lastGiven = null;
@@ -107,7 +108,7 @@
     /** A connection ends: its output is shut down, or it was evicted. It no longer counts against the budget. */
     void closing(ClientConnection connection) {
         if (closing.add(connection)) {
-            budget.closed();
+            budget.onClosed();
         }
         if (closing.size() > MOST_CLOSING && Double.isNaN(answerBy)) {
             closing.iterator().next().closeNow();
@@ -120,7 +121,7 @@
      * @param drainMs the last answers are given after so long
      */
     public void shutDown(double drainMs) {
-        answerBy = Clock.ticks() + drainMs;
+        answerBy = Clock.monotonicMs() + drainMs;
         List.copyOf(connections).forEach(connection -> connection.shutDown(drainMs));
     }
 
@@ -133,18 +134,18 @@
     private boolean makeRoom() {
         List<ClientConnection> all =
                 connections.stream().filter(c -> c.phase() == Phase.OPEN).toList();
-        double now = Clock.ticks();
-        int chosen =
-                ConnectionEviction.toClose(all.stream().map(c -> c.held(now)).toList());
+        double now = Clock.monotonicMs();
+        int chosen = ConnectionEviction.chooseVictim(
+                all.stream().map(c -> c.held(now)).toList());
         if (chosen == ConnectionEviction.NONE) {
             return false;
         }
         all.get(chosen).drain(CloseReason.EVICTED);
-        return budget.open() < budget.most();
+        return budget.open() < budget.limit();
     }
 
     private void onTick() {
-        double now = Clock.ticks();
+        double now = Clock.monotonicMs();
         for (ClientConnection connection : Set.copyOf(connections)) {
             connection.onTick(now);
         }
@@ -152,7 +153,7 @@
 
     /** Time that what is read now may have lain unread, ms. */
     double unreadMs() {
-        return unread.at(Clock.ticks());
+        return unread.estimateMs(Clock.monotonicMs());
     }
 
     /** Connections that came so far, those included that found no room. */
@@ -217,9 +218,9 @@
     /** A connection that can take a release whose own is gone, or null. */
     public ClientLink any() {
         List<ClientConnection> all = new ArrayList<>(connections);
-        int chosen = ConnectionEviction.toTell(
+        int chosen = ConnectionEviction.chooseRoute(
                 all.stream()
-                        .map(c -> new ConnectionEviction.Way(c.served() && c.open(), c.usefulAt()))
+                        .map(c -> new ConnectionEviction.Route(c.served() && c.open(), c.usefulAt()))
                         .toList(),
                 all.indexOf(lastGiven));
         lastGiven = chosen == ConnectionEviction.NONE ? null : all.get(chosen);
--- a/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
+++ b/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import spanrill.decisions.WatchRetryPolicy;
+import spanrill.decisions.DiscoveryRetryPolicy;
 import spanrill.loop.Clock;
 import spanrill.node.config.JsonPairs;
 import spanrill.node.config.ServerListUpdate;
@@ -21,7 +21,7 @@
 
 /**
  * Follows discovery: one connection at a time, resumed after the last event that was applied. When it is
- * asked again is decided by {@link WatchRetryPolicy}.
+ * asked again is decided by {@link DiscoveryRetryPolicy}.
  */
 public final class DiscoveryClient {
     private static final String PATH = "/bulletins";
@@ -32,7 +32,7 @@
     private final EventLoop loop;
     private final EventSink log;
     private final Consumer<ServerListUpdate> told;
-    private final WatchRetryPolicy watch;
+    private final DiscoveryRetryPolicy watch;
     private InetSocketAddress address;
     private long last;
     private Stream stream;
@@ -55,7 +55,7 @@
         this.address = address;
         this.last = last;
         this.told = told;
-        watch = new WatchRetryPolicy(seed);
+        watch = new DiscoveryRetryPolicy(seed);
     }
 
     /** Begins to ask. */
@@ -73,11 +73,11 @@
 
     /** True when what was missed is known, as far as it can be had. */
     public boolean caughtUp() {
-        return watch.caughtUp(Clock.ticks());
+        return watch.isCaughtUp(Clock.monotonicMs());
     }
 
     private void onTick() {
-        if (watch.due(Clock.ticks())) {
+        if (watch.isRetryDue(Clock.monotonicMs())) {
             drop();
             ask();
         }
@@ -91,12 +91,12 @@
     }
 
     private void ask() {
-        watch.asked(Clock.ticks());
+        watch.onRequest(Clock.monotonicMs());
         Stream next = new Stream();
         stream = next;
         HttpClientConnection.open(loop, address, CONNECT_MS, HttpLimits.CLIENT, next::opened, cause -> {
             if (stream == next) {
-                watch.broken(Clock.ticks());
+                watch.onFailure(Clock.monotonicMs());
             }
         });
     }
@@ -131,7 +131,7 @@
             if (stream == this) {
                 stream = null;
                 abandon();
-                watch.broken(Clock.ticks());
+                watch.onFailure(Clock.monotonicMs());
             }
         }
 
@@ -141,7 +141,7 @@
                 log.info("discovery.refused", "status", head.status());
                 broken();
             } else if (stream == this) {
-                watch.answered(Clock.ticks());
+                watch.onResponse(Clock.monotonicMs());
             }
         }
 
@@ -150,7 +150,7 @@
             if (stream != this) {
                 return;
             }
-            watch.heard(Clock.ticks());
+            watch.onData(Clock.monotonicMs());
             try {
                 events.feed(part);
             } catch (HttpFault fault) {
--- a/node/src/main/java/spanrill/node/server/ConnectionPool.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPool.java
@@ -13,7 +13,7 @@
 import spanrill.decisions.OutcomeTable.Event;
 import spanrill.decisions.OutcomeTable.Stage;
 import spanrill.loop.Clock;
-import spanrill.loop.NextEventLoopIteration;
+import spanrill.loop.NextIterationExecutor;
 import spanrill.node.session.Attempt;
 import spanrill.node.session.SessionHost;
 import spanrill.session.EventSink;
@@ -32,7 +32,7 @@
 
     private final String id;
     private final EventLoop loop;
-    private final NextEventLoopIteration nextIteration;
+    private final NextIterationExecutor nextIteration;
     private final ServerLimits limits;
     private final ConnectionBudget budget;
     private final SessionHost host;
@@ -55,7 +55,7 @@
             String id,
             InetSocketAddress address,
             EventLoop loop,
-            NextEventLoopIteration nextIteration,
+            NextIterationExecutor nextIteration,
             ServerLimits limits,
             ConnectionBudget budget,
             SessionHost host,
@@ -122,21 +122,21 @@
     // ---- what sessions ask
 
     void setUp(Attempt attempt) {
-        List<ConnectionSelector.Link> seen = new ArrayList<>();
-        double now = Clock.ticks();
+        List<ConnectionSelector.Connection> seen = new ArrayList<>();
+        double now = Clock.monotonicMs();
         for (ServerConnection link : links) {
-            seen.add(new ConnectionSelector.Link(link.open(), now - link.usedAt(), link.usable()));
+            seen.add(new ConnectionSelector.Connection(link.open(), now - link.usedAt(), link.usable()));
         }
-        int chosen = choice.choose(seen, !replaced && keptLinks() < most && budget.open() < budget.most());
-        if (chosen == ConnectionSelector.NONE) {
+        int chosen = choice.select(seen, !replaced && keptLinks() < most && budget.open() < budget.limit());
+        if (chosen == ConnectionSelector.NONE_AVAILABLE) {
             // A lack of room here says nothing against the server; that another has its address does.
             host.ended(
                     attempt,
-                    OutcomeTable.read(Stage.CONNECTING, replaced ? Event.CONNECT_REFUSED : Event.NO_ROOM),
+                    OutcomeTable.outcomeOf(Stage.CONNECTING, replaced ? Event.CONNECT_REFUSED : Event.POOL_EXHAUSTED),
                     null);
             return;
         }
-        ServerConnection link = chosen == ConnectionSelector.NEW ? open() : links.get(chosen);
+        ServerConnection link = chosen == ConnectionSelector.OPEN_NEW ? open() : links.get(chosen);
         link.setUp(attempt);
     }
 
@@ -211,7 +211,7 @@
 
     void standing(int sessions) {
         if (standing == 0 && sessions > 0) {
-            silence.heard(Clock.ticks());
+            silence.onReceived(Clock.monotonicMs());
         }
         standing = sessions;
         if (sessions > 0 && keptLinks() == 0) {
@@ -255,7 +255,7 @@
     // ---- connections
 
     private ServerConnection open() {
-        budget.opened();
+        budget.tryOpen();
         ServerConnection link = new ServerConnection(this, host, nextIteration);
         links.add(link);
         link.connect(loop, address, limits.connectMs());
@@ -264,8 +264,8 @@
 
     /** Opens a connection where there is none, so that news of sessions there can come. */
     private void ensureConnection() {
-        double now = Clock.ticks();
-        if (keptLinks() < 2 && !replaced && now >= openAfter && budget.open() < budget.most()) {
+        double now = Clock.monotonicMs();
+        if (keptLinks() < 2 && !replaced && now >= openAfter && budget.open() < budget.limit()) {
             openAfter = now + limits.connectMs();
             open();
         }
@@ -275,8 +275,8 @@
         refusedLast = false;
         if (!limits.mayTest()) {
             // The best word of it that may be asked for.
-            silence.heard(Clock.ticks());
-        } else if (silence.suspect()) {
+            silence.onReceived(Clock.monotonicMs());
+        } else if (silence.isSuspect()) {
             link.send(new Message(MessageType.TEST, 0).withCause(0));
         }
         pendingReleases.forEach(link::release);
@@ -284,7 +284,7 @@
     }
 
     void heard() {
-        silence.heard(Clock.ticks());
+        silence.onReceived(Clock.monotonicMs());
     }
 
     /** A connection has ended, or never came up. */
@@ -304,9 +304,11 @@
                 link.open(),
                 "standing",
                 standing);
-        budget.closed();
+        budget.onClosed();
         refusedLast = refused;
-        if (refused && silence.refused(Clock.ticks(), links.stream().anyMatch(ServerConnection::connected))) {
+        if (refused
+                && silence.isGoneAfterRefusal(
+                        Clock.monotonicMs(), links.stream().anyMatch(ServerConnection::connected))) {
             dead("refused");
         } else {
             lostIfDead();
@@ -333,7 +335,7 @@
     /** A look now and then; {@code each}: connections that one server may have. */
     void onTick(int each) {
         most = Math.min(each, MOST_LINKS);
-        double now = Clock.ticks();
+        double now = Clock.monotonicMs();
         for (ServerConnection link : List.copyOf(links)) {
             boolean idle = link.connected() && link.open() == 0;
             boolean needed = standing > 0 && link.usable() && usableLinks() == 1;
@@ -357,7 +359,7 @@
             // full.
             ensureConnection();
         }
-        switch (silence.look(now)) {
+        switch (silence.nextStep(now)) {
             case TEST -> {
                 ServerConnection link = limits.mayTest() ? live() : null;
                 if (link != null) {
@@ -365,7 +367,7 @@
                 }
             }
             case CONNECT -> {
-                if (!replaced && budget.open() < budget.most()) {
+                if (!replaced && budget.open() < budget.limit()) {
                     open();
                 }
             }
--- a/node/src/main/java/spanrill/node/server/ConnectionPools.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPools.java
@@ -15,7 +15,7 @@
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.OutcomeTable.Event;
 import spanrill.decisions.OutcomeTable.Stage;
-import spanrill.loop.NextEventLoopIteration;
+import spanrill.loop.NextIterationExecutor;
 import spanrill.node.session.Attempt;
 import spanrill.node.session.ServerSide;
 import spanrill.node.session.SessionHost;
@@ -30,7 +30,7 @@
     private final ConnectionBudget budget;
     private final EventSink log;
     private final EventSink trace;
-    private final NextEventLoopIteration nextIteration;
+    private final NextIterationExecutor nextIteration;
     private final Map<String, ConnectionPool> servers = new HashMap<>();
     private final Set<Attempt> unsent = new LinkedHashSet<>();
     private SessionHost host;
@@ -39,7 +39,7 @@
     public ConnectionPools(
             EventLoop loop, ServerLimits limits, ConnectionBudget budget, EventSink log, EventSink trace) {
         this.loop = loop;
-        nextIteration = new NextEventLoopIteration(loop);
+        nextIteration = new NextIterationExecutor(loop);
         this.limits = limits;
         this.budget = budget;
         this.log = log;
@@ -106,7 +106,7 @@
 
     private void onTick() {
         List<ConnectionPool> done = new ArrayList<>();
-        int each = Math.max(2, budget.most() / Math.max(1, servers.size()));
+        int each = Math.max(2, budget.limit() / Math.max(1, servers.size()));
         for (ConnectionPool server : new ArrayList<>(servers.values())) {
             server.onTick(each);
             if (server.finished()) {
@@ -150,7 +150,7 @@
     }
 
     private void unoffered(Attempt attempt) {
-        host.ended(attempt, OutcomeTable.read(Stage.CONNECTING, Event.NO_ROOM), null);
+        host.ended(attempt, OutcomeTable.outcomeOf(Stage.CONNECTING, Event.POOL_EXHAUSTED), null);
     }
 
     @Override
--- a/node/src/main/java/spanrill/node/server/ServerConnection.java
+++ b/node/src/main/java/spanrill/node/server/ServerConnection.java
@@ -28,10 +28,10 @@
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.OutcomeTable.Event;
 import spanrill.decisions.OutcomeTable.Stage;
-import spanrill.decisions.ReleaseMeaning;
+import spanrill.decisions.ReleaseOutcomes;
 import spanrill.decisions.UnacknowledgedReleases;
 import spanrill.loop.Clock;
-import spanrill.loop.NextEventLoopIteration;
+import spanrill.loop.NextIterationExecutor;
 import spanrill.node.session.Attempt;
 import spanrill.node.session.SessionHost;
 import spanrill.setup.SetupReader;
@@ -62,7 +62,7 @@
     // Of those open, the ones of which nothing was written yet.
     private final Set<Attempt> unwritten = new LinkedHashSet<>();
     private final UnacknowledgedReleases unacknowledged = new UnacknowledgedReleases(ARRIVED_MS, MOST_SAID);
-    private final NextEventLoopIteration nextIteration;
+    private final NextIterationExecutor nextIteration;
     private Channel channel;
     private boolean connected;
     private boolean suspect;
@@ -74,10 +74,10 @@
     /** Judges answers for set-ups that are not open here: late ones are usual, an endless stream is not. */
     private final AbuseLimiter unsolicited = new AbuseLimiter();
 
-    private double usedAt = Clock.ticks();
+    private double usedAt = Clock.monotonicMs();
     private double heardAt = usedAt;
 
-    ServerConnection(ConnectionPool server, SessionHost host, NextEventLoopIteration nextIteration) {
+    ServerConnection(ConnectionPool server, SessionHost host, NextIterationExecutor nextIteration) {
         this.server = server;
         this.host = host;
         this.nextIteration = nextIteration;
@@ -107,7 +107,7 @@
 
     private void opened() {
         connected = true;
-        heardAt = Clock.ticks();
+        heardAt = Clock.monotonicMs();
         server.opened(this);
         // What came while this connection did is read first: the viewers may have left.
         nextIteration.execute(this::writeWaiting);
@@ -175,7 +175,7 @@
     // ---- what goes out
 
     void setUp(Attempt attempt) {
-        usedAt = Clock.ticks();
+        usedAt = Clock.monotonicMs();
         open.put(attempt.session(), attempt);
         unwritten.add(attempt);
         if (connected) {
@@ -201,7 +201,7 @@
         if (written.isDone() && !written.isSuccess() && nothingWaits) {
             // The operating system took no byte of it: proof that it never ran.
             open.remove(attempt.session());
-            host.ended(attempt, OutcomeTable.read(Stage.CONNECTED, Event.RESET), null);
+            host.ended(attempt, OutcomeTable.outcomeOf(Stage.CONNECTED, Event.RESET), null);
         }
     }
 
@@ -213,7 +213,7 @@
 
     /** Releases a session that stands, or may. */
     void release(long session) {
-        unacknowledged.said(Clock.ticks(), session);
+        unacknowledged.recordWritten(Clock.monotonicMs(), session);
         send(new Message(MessageType.RELEASE, session).withCause(Cause.NORMAL_CLEARING));
     }
 
@@ -275,7 +275,7 @@
         ByteBuf in = (ByteBuf) part;
         try {
             if (!over) {
-                heardAt = Clock.ticks();
+                heardAt = Clock.monotonicMs();
                 server.heard();
                 decoder.feed(in, this::message);
             }
@@ -295,7 +295,7 @@
             case ANSWER -> answer(message);
             case RELEASE -> release(message);
             case NOTE -> note(message);
-            case RELEASE_HEARD -> unacknowledged.heard(message.session());
+            case RELEASE_HEARD -> unacknowledged.acknowledge(message.session());
             default -> {}
         }
         return !over;
@@ -320,18 +320,18 @@
     }
 
     private void release(Message message) {
-        unacknowledged.heard(message.session());
+        unacknowledged.acknowledge(message.session());
         Attempt attempt = open.remove(message.session());
         if (attempt != null) {
             usedAt = heardAt;
-            host.ended(attempt, ReleaseMeaning.beforeAnswer(message.cause()), load(message));
+            host.ended(attempt, ReleaseOutcomes.beforeAnswer(message.cause()), load(message));
         } else {
-            host.over(server.id(), message.session(), ReleaseMeaning.afterAnswer(message.cause()), load(message));
+            host.over(server.id(), message.session(), ReleaseOutcomes.afterAnswer(message.cause()), load(message));
         }
     }
 
     private void stray() {
-        if (unsolicited.rejected(Clock.ticks())) {
+        if (unsolicited.chargeRejectedSetUp(Clock.monotonicMs())) {
             finish(Event.RESET, false);
             channel.close();
         }
@@ -383,13 +383,13 @@
         open.clear();
         unwritten.clear();
         server.ended(this, refused);
-        server.releaseAgain(unacknowledged.lost(Clock.ticks()));
+        server.releaseAgain(unacknowledged.takeUnacknowledged(Clock.monotonicMs()));
         for (Attempt attempt : lost) {
             boolean never = unsent.contains(attempt);
             if (!never) {
                 server.possiblyEstablished(attempt.session());
             }
-            host.ended(attempt, OutcomeTable.read(never ? Stage.CONNECTING : Stage.WRITTEN, event), null);
+            host.ended(attempt, OutcomeTable.outcomeOf(never ? Stage.CONNECTING : Stage.WRITTEN, event), null);
         }
     }
 }
--- a/node/src/main/java/spanrill/node/session/ClientReleases.java
+++ b/node/src/main/java/spanrill/node/session/ClientReleases.java
@@ -36,7 +36,7 @@
     void tell(NodeSession session, End end) {
         ClientLink link = linkTo(session);
         trace.info("tellOver", "id", session.name(), "end", end, "own", link == session.link, "link", link != null);
-        PendingReleases.Owed<End> one = owed.add(executor.now(), session.id(), end);
+        PendingReleases.PendingRelease<End> one = owed.add(executor.now(), session.id(), end);
         if (link != null) {
             send(one, link);
         }
@@ -52,7 +52,7 @@
 
     /** A viewer has heard it: true when that was owed. */
     boolean heard(long id) {
-        return owed.heard(id);
+        return owed.acknowledge(id);
     }
 
     /** Releases that no viewer has heard yet. */
@@ -60,8 +60,8 @@
         return owed.size();
     }
 
-    private void send(PendingReleases.Owed<End> one, ClientLink link) {
-        owed.sent(executor.now(), one);
+    private void send(PendingReleases.PendingRelease<End> one, ClientLink link) {
+        owed.markSent(executor.now(), one);
         link.release(one.session(), one.end(), 0);
     }
 
--- a/node/src/main/java/spanrill/node/session/ModuleActions.java
+++ b/node/src/main/java/spanrill/node/session/ModuleActions.java
@@ -22,7 +22,7 @@
     @Override
     public void send(String request, double until, String server) {
         NodeSession session = sessions.apply(request);
-        if (session == null || !session.state().may(Event.SEND)) {
+        if (session == null || !session.state().allows(Event.SEND)) {
             log.info("send.impossible", "session", request, "server", server);
             return;
         }
@@ -36,7 +36,7 @@
             return;
         }
         session.rung = rung;
-        if (session.state().phase() == Phase.PLAYING || session.state().attemptOut()) {
+        if (session.state().phase() == Phase.PLAYING || session.state().hasOpenAttempt()) {
             host.rung(session);
         }
     }
@@ -44,7 +44,7 @@
     @Override
     public void move(String request) {
         NodeSession session = sessions.apply(request);
-        if (session != null && session.state().inPlay()) {
+        if (session != null && session.state().isEstablished()) {
             host.move(session);
         }
     }
@@ -52,10 +52,10 @@
     @Override
     public void refuse(String request, double retryAfterMs) {
         NodeSession session = sessions.apply(request);
-        if (session == null || !session.state().answerOwed()) {
+        if (session == null || !session.state().isAnswerPending()) {
             return;
         }
-        if (!session.state().may(Event.REFUSE)) {
+        if (!session.state().allows(Event.REFUSE)) {
             log.info("refuse.impossible", "session", request);
             fail(request);
             return;
@@ -66,7 +66,7 @@
     @Override
     public void fail(String request) {
         NodeSession session = sessions.apply(request);
-        if (session != null && session.state().may(Event.FAIL)) {
+        if (session != null && session.state().allows(Event.FAIL)) {
             host.answer(session, Event.FAIL, End.FAILED, 0);
         }
     }
--- a/node/src/main/java/spanrill/node/session/MovedSessions.java
+++ b/node/src/main/java/spanrill/node/session/MovedSessions.java
@@ -19,7 +19,7 @@
     /** A session moves from now on, ms on the scheduler's clock. */
     void add(NodeSession session, double now) {
         moving.add(session.id());
-        returning.over(now, session.viewer(), true);
+        returning.put(now, session.viewer(), true);
     }
 
     /** The session is over at its server; true when it was moving. */
@@ -29,7 +29,7 @@
 
     /** True, once, when this viewer comes back from a move. */
     boolean returns(String viewer, double now) {
-        return returning.take(now, viewer) != null;
+        return returning.remove(now, viewer) != null;
     }
 
     /** Sessions whose server has yet to say that they are over, or to be told so. */
--- a/node/src/main/java/spanrill/node/session/SessionHost.java
+++ b/node/src/main/java/spanrill/node/session/SessionHost.java
@@ -145,7 +145,7 @@
         trace.info("request", "id", session.name(), "class", setUp.className(), "left", leftMs);
         session.deadline = executor.schedule(leftMs + NET_MS, now -> overdue(now, session));
         executor.execute(now -> {
-            if (session.state().answerOwed()) {
+            if (session.state().isAnswerPending()) {
                 control.request(now, request(session, leftMs));
             }
         });
@@ -156,15 +156,15 @@
         NodeSession session = new NodeSession(setUp, link, limits.once(setUp.className()));
         session.server = setUp.figures().at();
         trace.info("takenOver", "id", session.name(), "server", session.server);
-        session.state().on(Event.SEND);
-        session.state().on(Event.PLAYS);
+        session.state().apply(Event.SEND);
+        session.state().apply(Event.PLAYS);
         sessions.put(session.id(), session);
         byName.put(session.name(), session);
         Request request = request(session, setUp.waitMs());
         session.settled();
         established.add(session, scheduler.now());
         executor.execute(now -> control.takenOver(now, request, session.server));
-        EarlyEnd ended = endedEarly.take(scheduler.now(), session.name());
+        EarlyEnd ended = endedEarly.remove(scheduler.now(), session.name());
         if (ended != null && ended.server().equals(session.server)) {
             over(session.server, session.id(), ended.outcome(), null);
         } else if (withdrawnBefore(session.id())) {
@@ -177,12 +177,12 @@
 
     /** True, once, when its viewer released it before it was known here: no answer is owed. */
     public boolean withdrawnBefore(long id) {
-        return releasedEarly.take(scheduler.now(), HexFormat.of().toHexDigits(id)) != null;
+        return releasedEarly.remove(scheduler.now(), HexFormat.of().toHexDigits(id)) != null;
     }
 
     /** Guards against sessions said to play at servers that don't exist: they would stand for good. */
     private void unlisted(NodeSession session) {
-        if (session.state().inPlay() && !listed.contains(session.server)) {
+        if (session.state().isEstablished() && !listed.contains(session.server)) {
             over(session.server, session.id(), Outcome.RESET, null);
         }
     }
@@ -209,10 +209,10 @@
         NodeSession session = sessions.get(id);
         trace.info("viewerReleases", "id", session == null ? id : session.name(), "known", session != null);
         if (session == null) {
-            releasedEarly.over(scheduler.now(), HexFormat.of().toHexDigits(id), true);
+            releasedEarly.put(scheduler.now(), HexFormat.of().toHexDigits(id), true);
             return false;
         }
-        if (session.state().answerOwed()) {
+        if (session.state().isAnswerPending()) {
             withdraw(session);
         } else {
             String server = session.server;
@@ -229,14 +229,14 @@
     public void linkEnded(List<Long> ids) {
         for (long id : ids) {
             NodeSession session = sessions.get(id);
-            if (session != null && session.state().answerOwed()) {
+            if (session != null && session.state().isAnswerPending()) {
                 withdraw(session);
             }
         }
     }
 
     private void withdraw(NodeSession session) {
-        session.state().on(Event.LEAVE);
+        session.state().apply(Event.LEAVE);
         if (session.attempt != null) {
             servers.giveUp(session.attempt);
         }
@@ -268,7 +268,7 @@
         if (session.attempt != attempt) {
             return;
         }
-        session.state().on(Event.PLAYS);
+        session.state().apply(Event.PLAYS);
         session.server = attempt.server();
         double took = scheduler.now() - session.sentAt;
         trace.info("plays", "id", session.name(), "server", session.server, "took", took);
@@ -288,8 +288,8 @@
         session.attemptOver();
         session.state().attemptEnded(outcome);
         trace.info("attemptEnded", "id", session.name(), "server", attempt.server(), "outcome", outcome, "load", load);
-        executor.execute(now ->
-                control.ended(now, session.name(), !session.state().answerOwed(), outcome, attempt.server(), load));
+        executor.execute(now -> control.ended(
+                now, session.name(), !session.state().isAnswerPending(), outcome, attempt.server(), load));
     }
 
     /** A session that stood has ended at its server. */
@@ -307,9 +307,9 @@
                 session != null);
         moved.remove(id);
         if (session == null && outcome != Outcome.CANCELLED) {
-            endedEarly.over(scheduler.now(), HexFormat.of().toHexDigits(id), new EarlyEnd(server, outcome));
+            endedEarly.put(scheduler.now(), HexFormat.of().toHexDigits(id), new EarlyEnd(server, outcome));
         }
-        if (session == null || !session.state().inPlay() || !server.equals(session.server)) {
+        if (session == null || !session.state().isEstablished() || !server.equals(session.server)) {
             return;
         }
         over(session);
@@ -345,8 +345,9 @@
 
     /** Requests whose answer is owed. */
     public int open() {
-        return (int)
-                sessions.values().stream().filter(s -> s.state().answerOwed()).count();
+        return (int) sessions.values().stream()
+                .filter(s -> s.state().isAnswerPending())
+                .count();
     }
 
     /** True while a client has yet to be told of the end of a session, or may have to be. */
@@ -385,7 +386,7 @@
     // ---- within
 
     private void over(NodeSession session) {
-        session.state().on(Event.END);
+        session.state().apply(Event.END);
         forget(session);
         established.remove(session);
     }
@@ -397,12 +398,12 @@
     }
 
     private static Outcome timedOut(boolean unsent) {
-        return OutcomeTable.read(unsent ? Stage.CONNECTING : Stage.WRITTEN, OutcomeTable.Event.TIMED_OUT);
+        return OutcomeTable.outcomeOf(unsent ? Stage.CONNECTING : Stage.WRITTEN, OutcomeTable.Event.TIMED_OUT);
     }
 
     /** The net under the module: an answer that it still owes is given, and an attempt that is out ends. */
     private void overdue(double now, NodeSession session) {
-        if (!session.state().answerOwed()) {
+        if (!session.state().isAnswerPending()) {
             return;
         }
         log.info(
@@ -435,7 +436,7 @@
     /** Gives a request its final answer. */
     void answer(NodeSession session, Event event, End end, double stayAwayMs) {
         trace.info("answer", "id", session.name(), "end", end, "stayAway", stayAwayMs);
-        session.state().on(event);
+        session.state().apply(event);
         forget(session);
         session.link.release(session.id(), end, stayAwayMs);
     }
@@ -445,7 +446,7 @@
     /** Sends an attempt; {@code wantedUntil}: when the module gives it up, ms on the scheduler's clock. */
     void send(NodeSession session, double wantedUntil, String server) {
         double until = Math.min(wantedUntil, answerBy);
-        session.state().on(Event.SEND);
+        session.state().apply(Event.SEND);
         session.sentAt = scheduler.now();
         trace.info("send", "id", session.name(), "server", server, "rung", session.rung);
         Attempt attempt = new Attempt(session, server, until);
--- a/session/src/main/java/spanrill/session/Attempts.java
+++ b/session/src/main/java/spanrill/session/Attempts.java
@@ -36,7 +36,7 @@
 
     /** Sends one; it is given up at the time {@code until}. */
     void send(Session session, double until, String box) {
-        session.state.on(Event.SEND);
+        session.state.apply(Event.SEND);
         session.box = box;
         session.sentAt = executor.now();
         String key = session.moduleRequest + "." + session.state.attempts();
@@ -65,7 +65,7 @@
     }
 
     private static boolean isOut(Session session, String key) {
-        return session.state.attemptOut() && key.equals(session.key);
+        return session.state.hasOpenAttempt() && key.equals(session.key);
     }
 
     private void timedOut(double now, Session session, String key) {
@@ -106,8 +106,8 @@
 
     /** Gives up the attempt that is out, if any. */
     void callOff(Session session) {
-        if (session.state.attemptOut()) {
-            session.state.attemptEnded(stop(session, OutcomeTable.Event.CALLED_OFF));
+        if (session.state.hasOpenAttempt()) {
+            session.state.attemptEnded(stop(session, OutcomeTable.Event.CANCELLED));
         }
     }
 
@@ -119,7 +119,7 @@
 
     /** Tells the box of a session its rung, where one plays it or sets it up. */
     void rate(Session session) {
-        if (session.phase() == Phase.PLAYING || session.state.attemptOut()) {
+        if (session.phase() == Phase.PLAYING || session.state.hasOpenAttempt()) {
             boxes.rung(session.box, session.key, session.rung);
         }
     }
--- a/session/src/main/java/spanrill/session/Session.java
+++ b/session/src/main/java/spanrill/session/Session.java
@@ -73,7 +73,7 @@
 
     /** True after it was answered "plays" and before its end. */
     public boolean inPlay() {
-        return state.inPlay();
+        return state.isEstablished();
     }
 
     /** Box that it plays at, or is set up at. */
--- a/session/src/main/java/spanrill/session/SessionCore.java
+++ b/session/src/main/java/spanrill/session/SessionCore.java
@@ -8,10 +8,10 @@
 import spanrill.SessionControl.ListKind;
 import spanrill.SessionControl.NoteKind;
 import spanrill.SessionControl.Server;
-import spanrill.decisions.Admission;
 import spanrill.decisions.SessionEnd;
 import spanrill.decisions.SessionState.Event;
 import spanrill.decisions.SessionState.Phase;
+import spanrill.decisions.TokenRequestTable;
 
 /**
  * Hosts one module: protocol events become the module's events, its actions become calls of the box side and
@@ -59,7 +59,7 @@
         log = host.log();
         executor = new SerialExecutor(host.scheduler(), log);
         control = host.policy().create(settings.module(), settings.seed(), this);
-        tokens = new TokenAdmission(new Admission(settings.tokens(), settings.sameMs()), host.memory());
+        tokens = new TokenAdmission(new TokenRequestTable(settings.tokens(), settings.sameMs()), host.memory());
         lives = new SessionLifecycle(settings, control, executor, log, host.names(), tokens, table);
     }
 
@@ -117,9 +117,9 @@
             return;
         }
         double now = executor.now();
-        Admission.Verdict verdict = tokens.offer(now, wish.tokenId());
+        TokenRequestTable.Verdict verdict = tokens.offer(now, wish.tokenId());
         switch (verdict.kind()) {
-            case NEW -> lives.take(now, wish, title, call, verdict.again());
+            case NEW -> lives.take(now, wish, title, call, verdict.refusedBefore());
             case JOIN -> lives.join(table.live(verdict.session()), call);
             case REFUSED -> call.refused(verdict.retryAfterMs());
             case FAILED -> call.failed();
--- a/session/src/main/java/spanrill/session/SessionLifecycle.java
+++ b/session/src/main/java/spanrill/session/SessionLifecycle.java
@@ -8,8 +8,8 @@
 import spanrill.SessionControl;
 import spanrill.SessionControl.Load;
 import spanrill.SessionControl.Outcome;
-import spanrill.decisions.AnswerTime;
-import spanrill.decisions.IdleWatch;
+import spanrill.decisions.AnswerDeadline;
+import spanrill.decisions.IdleSessionTracker;
 import spanrill.decisions.SessionEnd;
 import spanrill.decisions.SessionState.Event;
 import spanrill.decisions.SessionState.Phase;
@@ -30,7 +30,7 @@
     private final TokenAdmission tokens;
     private final SessionTable table;
     private final Attempts attempts;
-    private final IdleWatch idle;
+    private final IdleSessionTracker idle;
     private final Map<ViewerCall, Session> calls = new IdentityHashMap<>();
     private BoxSide boxes;
 
@@ -50,7 +50,7 @@
         this.tokens = tokens;
         this.table = table;
         attempts = new Attempts(executor, table, log, this);
-        idle = new IdleWatch(settings.idleMs());
+        idle = new IdleSessionTracker(settings.idleMs());
     }
 
     void begin(BoxSide side) {
@@ -67,16 +67,16 @@
         Session session = new Session(names.get(), wish, type, title, now);
         await(session, call);
         table.add(session);
-        AnswerTime time = type.time();
-        session.net = executor.schedule(time.net(now, wish.arrivedAt()), at -> overdue(at, session));
+        AnswerDeadline time = type.time();
+        session.net = executor.schedule(time.guardDelayMs(now, wish.arrivedAt()), at -> overdue(at, session));
         tokens.taken(
                 session,
                 safe -> executor.execute(at -> {
-                    if (!session.state.answerOwed()) {
+                    if (!session.state.isAnswerPending()) {
                         return;
                     }
                     if (safe) {
-                        ask(at, session, time.left(at, wish.arrivedAt()), false, again);
+                        ask(at, session, time.remainingMs(at, wish.arrivedAt()), false, again);
                     } else {
                         answer(session, Event.REFUSE, settings.maxRetryAfterMs());
                     }
@@ -85,7 +85,7 @@
 
     /** Another request of the same token. */
     void join(Session session, ViewerCall call) {
-        if (session.state.answerOwed()) {
+        if (session.state.isAnswerPending()) {
             await(session, call);
         } else {
             call.plays(session);
@@ -123,9 +123,9 @@
             return;
         }
         executor.execute(now -> {
-            if (session.waiting.remove(call) && session.waiting.isEmpty() && session.state.answerOwed()) {
+            if (session.waiting.remove(call) && session.waiting.isEmpty() && session.state.isAnswerPending()) {
                 attempts.callOff(session);
-                session.state.on(Event.LEAVE);
+                session.state.apply(Event.LEAVE);
                 close(now, session, SessionEnd.LEFT);
                 control.gone(now, session.moduleRequest);
             }
@@ -134,12 +134,12 @@
 
     /** The core's own answer when the module's is overdue: a net that should never be needed. */
     private void overdue(double now, Session session) {
-        if (!session.state.answerOwed()) {
+        if (!session.state.isAnswerPending()) {
             return;
         }
         log.error("answer.overdue", null, "session", session.id(), "phase", session.phase());
         attempts.callOff(session);
-        answer(session, session.state.may(Event.REFUSE) ? Event.REFUSE : Event.FAIL, 0);
+        answer(session, session.state.allows(Event.REFUSE) ? Event.REFUSE : Event.FAIL, 0);
         control.gone(now, session.moduleRequest);
     }
 
@@ -148,12 +148,12 @@
         if (session == null) {
             return;
         }
-        boolean owed = session.state.answerOwed();
-        session.state.on(event);
+        boolean owed = session.state.isAnswerPending();
+        session.state.apply(event);
         session.retryAfterMs = retryAfterMs;
         List<ViewerCall> due = answered(session);
         boolean refused = event == Event.REFUSE;
-        close(executor.now(), session, SessionEnd.of(refused, owed));
+        close(executor.now(), session, SessionEnd.fromFinalAnswer(refused, owed));
         for (ViewerCall call : due) {
             if (refused) {
                 call.refused(retryAfterMs);
@@ -193,9 +193,9 @@
 
     @Override
     public void plays(double now, Session session, double tookMs) {
-        boolean first = session.state.answerOwed();
-        session.state.on(Event.PLAYS);
-        idle.seen(now, session.id());
+        boolean first = session.state.isAnswerPending();
+        session.state.apply(Event.PLAYS);
+        idle.touch(now, session.id());
         if (first) {
             session.firstKey = session.key;
             session.net.cancel();
@@ -230,7 +230,7 @@
             // It ended a moment ago; the module hears of that next.
             return;
         }
-        session.state.on(Event.MOVE);
+        session.state.apply(Event.MOVE);
         String box = session.box;
         String request = session.moduleRequest;
         table.forgetModule(request);
@@ -249,7 +249,7 @@
             if (session.phase() == Phase.MOVING
                     && session.moves == move
                     && !(session.id() + "-" + move).equals(session.moduleRequest)) {
-                ask(now, session, session.type().time().whole(), true, true);
+                ask(now, session, session.type().time().totalMs(), true, true);
             }
         });
     }
@@ -258,13 +258,13 @@
 
     /** A sign of life of a session's player. */
     void seen(Session session) {
-        if (session.state.inPlay()) {
-            idle.seen(executor.now(), session.id());
+        if (session.state.isEstablished()) {
+            idle.touch(executor.now(), session.id());
         }
     }
 
     private void lookForIdle(double now) {
-        for (String id : idle.due(now)) {
+        for (String id : idle.removeIdle(now)) {
             Session session = table.live(id);
             if (session != null) {
                 end(now, session, SessionEnd.IDLE);
@@ -277,7 +277,7 @@
         String request = session.moduleRequest;
         switch (session.phase()) {
             case PLAYING -> {
-                session.state.on(Event.END);
+                session.state.apply(Event.END);
                 String box = session.box;
                 String key = session.key;
                 close(now, session, why);
@@ -291,7 +291,7 @@
             }
             case MOVING, MOVING_SET_UP -> {
                 attempts.callOff(session);
-                session.state.on(Event.END);
+                session.state.apply(Event.END);
                 close(now, session, why);
                 control.gone(now, request);
             }
@@ -306,7 +306,7 @@
         }
         String request = session.moduleRequest;
         String box = session.box;
-        session.state.on(Event.END);
+        session.state.apply(Event.END);
         close(now, session, why);
         control.ended(now, request, true, Outcome.RESET, box, null);
     }
@@ -316,7 +316,7 @@
         session.end = why;
         session.net.cancel();
         table.over(now, session);
-        idle.over(session.id());
+        idle.remove(session.id());
         tokens.over(now, session);
         log.info(
                 "session.over",
@@ -325,7 +325,7 @@
                 "class",
                 session.request().className(),
                 "why",
-                why.word(),
+                why.wireName(),
                 "answer",
                 String.valueOf(session.state.answer()),
                 "attempts",
--- a/session/src/main/java/spanrill/session/SessionTable.java
+++ b/session/src/main/java/spanrill/session/SessionTable.java
@@ -48,7 +48,7 @@
         byId.remove(session.id());
         byKey.remove(session.key);
         byModule.remove(session.moduleRequest);
-        over.over(now, session.id(), session);
+        over.put(now, session.id(), session);
     }
 
     Session live(String id) {
--- a/session/src/main/java/spanrill/session/SessionType.java
+++ b/session/src/main/java/spanrill/session/SessionType.java
@@ -1,6 +1,6 @@
 package spanrill.session;
 
-import spanrill.decisions.AnswerTime;
+import spanrill.decisions.AnswerDeadline;
 
 /**
  * A class of session, as the core and the viewer sides need it.
@@ -10,4 +10,4 @@
  * @param scale its rates over the ladder's
  * @param time when its answers are due
  */
-public record SessionType(boolean once, int floor, double scale, AnswerTime time) {}
+public record SessionType(boolean once, int floor, double scale, AnswerDeadline time) {}
--- a/session/src/main/java/spanrill/session/TokenAdmission.java
+++ b/session/src/main/java/spanrill/session/TokenAdmission.java
@@ -1,18 +1,18 @@
 package spanrill.session;
 
 import java.util.function.Consumer;
-import spanrill.decisions.Admission;
 import spanrill.decisions.SessionState.Answer;
+import spanrill.decisions.TokenRequestTable;
 
 /**
- * What a core knows of tokens: which request one stands for, decided by {@link Admission}, and for paid ones
+ * What a core knows of tokens: which request one stands for, decided by {@link TokenRequestTable}, and for paid ones
  * what must be remembered over the death of the process.
  */
 final class TokenAdmission {
-    private final Admission admission;
+    private final TokenRequestTable admission;
     private final SpentTokenStore memory;
 
-    TokenAdmission(Admission admission, SpentTokenStore memory) {
+    TokenAdmission(TokenRequestTable admission, SpentTokenStore memory) {
         this.admission = admission;
         this.memory = memory;
     }
@@ -21,8 +21,8 @@
         admission.restore(tokenId, used, expiresAt);
     }
 
-    Admission.Verdict offer(double now, String tokenId) {
-        return admission.offer(now, tokenId);
+    TokenRequestTable.Verdict offer(double now, String tokenId) {
+        return admission.evaluate(now, tokenId);
     }
 
     /**
@@ -34,7 +34,7 @@
      */
     void taken(Session session, Consumer<Boolean> then) {
         ViewerRequest wish = session.request();
-        admission.taken(wish.tokenId(), session.id(), session.type().once(), wish.expiresAt());
+        admission.assignSession(wish.tokenId(), session.id(), session.type().once(), wish.expiresAt());
         if (session.type().once()) {
             memory.taken(wish.tokenId(), wish.expiresAt(), then);
         } else {
@@ -54,7 +54,7 @@
         boolean mayHaveRun = session.state.mayHaveRun();
         Answer answer = session.state.answer();
         String tokenId = session.request().tokenId();
-        admission.over(now, tokenId, answer, mayHaveRun, session.retryAfterMs);
+        admission.endSession(now, tokenId, answer, mayHaveRun, session.retryAfterMs);
         if (session.type().once()) {
             memory.over(
                     tokenId,
--- a/session/src/test/java/spanrill/session/SessionCoreTest.java
+++ b/session/src/test/java/spanrill/session/SessionCoreTest.java
@@ -17,7 +17,7 @@
 import spanrill.SessionControl.Outcome;
 import spanrill.SessionControl.Server;
 import spanrill.SessionControl.ServerState;
-import spanrill.decisions.AnswerTime;
+import spanrill.decisions.AnswerDeadline;
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.SessionEnd;
 
@@ -49,7 +49,7 @@
             }
             return why -> {
                 told.add("abandon " + why);
-                return OutcomeTable.read(OutcomeTable.Stage.WRITTEN, why);
+                return OutcomeTable.outcomeOf(OutcomeTable.Stage.WRITTEN, why);
             };
         }
 
@@ -116,7 +116,7 @@
                 0,
                 1,
                 rules);
-        AnswerTime time = new AnswerTime(500, 50);
+        AnswerDeadline time = new AnswerDeadline(500, 50);
         return new CoreSettings(
                 module,
                 1,
@@ -231,7 +231,7 @@
         run(() -> core.left(first));
         assertEquals(List.of(), boxes.told);
         run(() -> core.left(second));
-        assertEquals(List.of("abandon CALLED_OFF"), boxes.told);
+        assertEquals(List.of("abandon CANCELLED"), boxes.told);
         assertEquals(0, core.size());
         assertEquals(0, answers.size());
     }
--- a/standin/src/main/java/spanrill/standin/box/BoxShaper.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxShaper.java
@@ -101,13 +101,13 @@
             return -1;
         }
         double audioPerMs =
-                TrackRates.audio(day.titles().audioKb(), day.ladder().kb().get(session.floor) * session.scale)
+                TrackRates.audioRate(day.titles().audioKb(), day.ladder().kb().get(session.floor) * session.scale)
                         * day.byteScale();
         if (audio && audioPerMs == 0) {
             return -1;
         }
         session.segments += audio ? 0 : 1;
-        double perMs = audio ? audioPerMs : TrackRates.video(bytesPerMs(session, rung), audioPerMs);
+        double perMs = audio ? audioPerMs : TrackRates.videoRate(bytesPerMs(session, rung), audioPerMs);
         return Math.max(1, Math.round(perMs * ms));
     }
 
