--- a/node/src/main/java/spanrill/node/FrontNode.java
+++ b/node/src/main/java/spanrill/node/FrontNode.java
@@ -257,12 +257,12 @@
     }
 
     /** Sessions held, open or standing; may be asked from any thread. */
-    public int sessions() {
+    public int sessionCount() {
         return loop.submit(host::size).syncUninterruptibly().getNow();
     }
 
     /** The loop that all of it runs on: whoever holds it up decides what lies unread together. */
-    Executor loop() {
+    Executor eventLoop() {
         return loop;
     }
 
--- a/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
+++ b/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
@@ -48,7 +48,7 @@
             if (message.session() == innocent) {
                 arrived.countDown();
             } else {
-                judge.proved(message.session());
+                judge.nonExecutionProved(message.session());
                 wire.send(new Message(MessageType.RELEASE, message.session()).withCause(34));
             }
         });
@@ -130,7 +130,7 @@
         int crossed = (int) (50 / PACE_MS) + 1;
         int answered = 0;
         for (Message next = client.next(1); next != null; next = client.next(1)) {
-            judge.atViewer(next);
+            judge.receivedByViewer(next);
             answered++;
         }
         assertTrue(answered >= owed - crossed, answered + " of " + owed + " were answered");
--- a/node/src/test/java/spanrill/node/CrossingsTest.java
+++ b/node/src/test/java/spanrill/node/CrossingsTest.java
@@ -103,7 +103,7 @@
         long id = ask(viewer, "free");
         ScriptedServer.Got got = atServer();
         whileHeld(() -> {
-            judge.proved(id);
+            judge.nonExecutionProved(id);
             got.wire().send(new Message(MessageType.RELEASE, id).withCause(34));
             viewer.close();
         });
@@ -130,12 +130,12 @@
     void aReleaseReadBeforeTheSessionIsTakenOverReachesItsServer() throws Exception {
         Wire viewer = viewer();
         viewer.send(new Message(MessageType.RELEASE, 7).withCause(16));
-        judge.asked(7, "free");
+        judge.requestSent(7, "free");
         viewer.send(setUp(7, "free", ";at:s-1"));
         Message release = nextAt(one, MessageType.RELEASE);
         assertNotNull(release);
         assertEquals(7, release.session());
-        assertEquals(0, node.sessions());
+        assertEquals(0, node.sessionCount());
     }
 
     /** The connection that asked must not keep the number: it would count as waited on for good. */
@@ -163,9 +163,9 @@
         Wire viewer = viewer();
         Held first = new Held();
         Held second = new Held();
-        node.loop().execute(first);
+        node.eventLoop().execute(first);
         first.awaitBegin();
-        node.loop().execute(second);
+        node.eventLoop().execute(second);
         // By then a look at idle connections is due, and comes behind the second task.
         CountDownLatch later = new CountDownLatch(1);
         assertFalse(later.await(1600, TimeUnit.MILLISECONDS));
@@ -248,12 +248,12 @@
         asked.tell(2, TestConfig.event(2, false, TestConfig.member("s-3", late.port(), "SERVING")));
         Wire viewer = viewer();
         settle();
-        judge.asked(7, "free");
+        judge.requestSent(7, "free");
         viewer.send(setUp(7, "free", ";at:s-3"));
         settle();
         asked.tell(3, TestConfig.event(3, false, two.member("SERVING").replace("s-2", "s-3")));
         assertNull(viewer.next(400), "it moved to another address and stands");
-        assertEquals(1, node.sessions());
+        assertEquals(1, node.sessionCount());
     }
 
     /** The request has run, its answer can't be read: what may stand there is released. */
@@ -424,7 +424,7 @@
 
     private void big(Wire wire, Message message) {
         byte[] description = new byte[15_000];
-        judge.made(message.session(), description);
+        judge.descriptionIssued(message.session(), description);
         wire.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, description));
     }
 
@@ -453,7 +453,7 @@
         node.stop(done::countDown);
         Wire viewer = viewer();
         long id = ++ids;
-        judge.asked(id, "paid");
+        judge.requestSent(id, "paid");
         Message patient = new Message(MessageType.SET_UP, id)
                 .with(Parameter.CLASS, "paid")
                 .with(Parameter.WAIT, "8000")
--- a/node/src/test/java/spanrill/node/FrontNodeTest.java
+++ b/node/src/test/java/spanrill/node/FrontNodeTest.java
@@ -36,7 +36,7 @@
         assertTrue(answer.text(Parameter.DESCRIPTION).endsWith("/" + id));
         got.wire().send(new Message(MessageType.RELEASE, id).withCause(16));
         assertEquals(16, viewer.next(SOON).cause());
-        assertEquals(0, node.sessions());
+        assertEquals(0, node.sessionCount());
     }
 
     @Test
@@ -53,7 +53,7 @@
     void sessionsOfAStartAreHeldAndReleasedOnAnyConnection() throws Exception {
         Wire viewer = viewer();
         for (long id = 1; id <= 2; id++) {
-            judge.asked(id, "free");
+            judge.requestSent(id, "free");
             Message stands = new Message(MessageType.SET_UP, id)
                     .with(Parameter.CLASS, "free")
                     .with(Parameter.WAIT, "inf")
@@ -64,7 +64,7 @@
             viewer.send(stands);
         }
         playing(viewer, "free");
-        assertEquals(3, node.sessions());
+        assertEquals(3, node.sessionCount());
         one.close();
         for (int i = 0; i < 2; i++) {
             assertEquals(41, viewer.next(SOON).cause());
@@ -168,7 +168,7 @@
         ScriptedDiscovery other = keep(new ScriptedDiscovery());
         node.reconfigure(config(other.port(), one.member("SERVING")));
         assertEquals("1", other.next(SOON).lastId());
-        assertEquals(1, node.sessions());
+        assertEquals(1, node.sessionCount());
         playing(viewer, "free");
     }
 
@@ -230,6 +230,6 @@
         one.answer(got.wire(), got.message());
         assertEquals(id, answer(viewer, SOON).session());
         assertTrue(done.await(5, TimeUnit.SECONDS));
-        assertFalse(judge.faults(id).contains("no answer: " + id));
+        assertFalse(judge.violations(id).contains("no answer: " + id));
     }
 }
--- a/node/src/test/java/spanrill/node/HostileServersTest.java
+++ b/node/src/test/java/spanrill/node/HostileServersTest.java
@@ -21,7 +21,7 @@
         Wire viewer = viewer();
         long paid = ask(viewer, "paid");
         assertEquals(41, answer(viewer, SOON).cause(), "it may have run: failed, not refused");
-        assertEquals(List.of(), judge.faults(paid));
+        assertEquals(List.of(), judge.violations(paid));
         one.onSetUp(one::answer);
         two.onSetUp(two::answer);
     }
@@ -48,7 +48,7 @@
         both((wire, message) -> {
             if (!full[0]) {
                 full[0] = true;
-                judge.proved(message.session());
+                judge.nonExecutionProved(message.session());
                 wire.send(new Message(MessageType.RELEASE, message.session())
                         .withCause(34)
                         .with(Parameter.REPORT, "x0:1.3;x1:noise"));
--- a/node/src/test/java/spanrill/node/HostileViewersTest.java
+++ b/node/src/test/java/spanrill/node/HostileViewersTest.java
@@ -86,7 +86,7 @@
         for (int i = 0; i < owed.length; i++) {
             answer(crowd, SOON);
         }
-        assertEquals(List.of(), judge.faults(owed));
+        assertEquals(List.of(), judge.violations(owed));
         assertNull(crowd.next(50));
     }
 
@@ -106,9 +106,9 @@
         Message after = crowd.next(SOON);
         for (; after.type() != MessageType.TEST_RESULT; after = crowd.next(SOON)) {
             // Turned away before it was withdrawn: an answer, not a second one.
-            judge.atViewer(after);
+            judge.receivedByViewer(after);
         }
-        assertEquals(0, node.sessions());
+        assertEquals(0, node.sessionCount());
         both(one::answer);
         playing(viewer(), "free");
     }
@@ -138,7 +138,7 @@
     void aSlowReaderKeepsItsAnswersAfterARest() throws Exception {
         byte[] description = new byte[15_000];
         both((wire, message) -> {
-            judge.made(message.session(), description);
+            judge.descriptionIssued(message.session(), description);
             wire.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, description));
         });
         Wire slow = keep(Wire.reading(node.address().getPort(), 4096));
--- a/node/src/test/java/spanrill/node/NodeBench.java
+++ b/node/src/test/java/spanrill/node/NodeBench.java
@@ -26,7 +26,7 @@
 @Timeout(30)
 abstract class NodeBench {
     static final long SOON = 3000;
-    final Judge judge = new Judge();
+    final RequestRuleChecker judge = new RequestRuleChecker();
     private final List<AutoCloseable> open = new ArrayList<>();
 
     @TempDir
@@ -55,7 +55,7 @@
         for (AutoCloseable each : open) {
             each.close();
         }
-        assertEquals(List.of(), judge.faults());
+        assertEquals(List.of(), judge.violations());
     }
 
     <T extends AutoCloseable> T keep(T peer) {
@@ -92,7 +92,7 @@
 
     void whileHeld(Step step) throws Exception {
         Held held = new Held();
-        node.loop().execute(held);
+        node.eventLoop().execute(held);
         held.awaitBegin();
         step.run();
         held.over();
@@ -126,7 +126,7 @@
     void settle() throws InterruptedException {
         for (int round = 0; round < 4; round++) {
             CountDownLatch ran = new CountDownLatch(1);
-            node.loop().execute(ran::countDown);
+            node.eventLoop().execute(ran::countDown);
             ran.await();
         }
     }
@@ -142,7 +142,7 @@
 
     long ask(Wire viewer, String className) {
         long id = ++ids;
-        judge.asked(id, className);
+        judge.requestSent(id, className);
         viewer.send(setUp(id, className, ""));
         return id;
     }
@@ -150,7 +150,7 @@
     Message answer(Wire viewer, long ms) throws InterruptedException {
         Message message = viewer.next(ms);
         assertNotNull(message, "an answer in time");
-        judge.atViewer(message);
+        judge.receivedByViewer(message);
         return message;
     }
 
--- a/node/src/test/java/spanrill/node/Judge.java
+++ b/node/src/test/java/spanrill/node/RequestRuleChecker.java
@@ -13,7 +13,7 @@
  * Judges the rules on requests from what crossed the sockets: one answer to each set-up, made by a server
  * where it says that the session stands; a paid set-up sent again or refused only on a server's proof.
  */
-final class Judge {
+final class RequestRuleChecker {
     private static final List<Integer> REFUSALS = List.of(34, 42, 102);
 
     private final Map<Long, String> classes = new HashMap<>();
@@ -24,21 +24,21 @@
     private final List<String> faults = new ArrayList<>();
 
     /** A viewer sent a set-up. */
-    synchronized void asked(long session, String className) {
+    synchronized void requestSent(long session, String className) {
         classes.put(session, className);
     }
 
     /** A server made a description. */
-    synchronized void made(long session, byte[] description) {
+    synchronized void descriptionIssued(long session, byte[] description) {
         made.computeIfAbsent(session, s -> new ArrayList<>()).add(description);
     }
 
     /** A server proved that an attempt never ran. */
-    synchronized void proved(long session) {
+    synchronized void nonExecutionProved(long session) {
         proofs.merge(session, 1, Integer::sum);
     }
 
-    synchronized void atServer(String server, Message message) {
+    synchronized void receivedByServer(String server, Message message) {
         long id = message.session();
         if (message.type() != MessageType.SET_UP) {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    synchronized void atViewer(Message message) {
+    synchronized void receivedByViewer(Message message) {
         long id = message.session();
         boolean stands = message.type() == MessageType.ANSWER;
         if (!stands && (message.type() != MessageType.RELEASE || answers.getOrDefault(id, 0) > 0 && madeFor(id))) {
@@ -77,7 +77,7 @@
     }
 
     /** All that was broken, with the set-ups of these ids that were never answered. */
-    synchronized List<String> faults(long... owed) {
+    synchronized List<String> violations(long... owed) {
         List<String> all = new ArrayList<>(faults);
         for (long id : owed) {
             if (!answers.containsKey(id)) {
--- a/node/src/test/java/spanrill/node/ScriptedServer.java
+++ b/node/src/test/java/spanrill/node/ScriptedServer.java
@@ -23,10 +23,10 @@
     final BlockingQueue<Got> got = new LinkedBlockingQueue<>();
     private final ServerSocket listening;
     private final List<Wire> wires = new CopyOnWriteArrayList<>();
-    private final Judge judge;
+    private final RequestRuleChecker judge;
     private volatile BiConsumer<Wire, Message> onSetUp = this::answer;
 
-    ScriptedServer(String id, Judge judge) throws IOException {
+    ScriptedServer(String id, RequestRuleChecker judge) throws IOException {
         this.id = id;
         this.judge = judge;
         listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
@@ -48,7 +48,7 @@
     }
 
     private void heard(Wire wire, Message message) {
-        judge.atServer(id, message);
+        judge.receivedByServer(id, message);
         got.add(new Got(wire, message));
         if (message.type() == MessageType.SET_UP) {
             onSetUp.accept(wire, message);
@@ -58,7 +58,7 @@
     /** The usual answer: a description of this server for this session. */
     void answer(Wire wire, Message setUp) {
         byte[] description = (id + "/" + setUp.session()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        judge.made(setUp.session(), description);
+        judge.descriptionIssued(setUp.session(), description);
         wire.send(new Message(MessageType.ANSWER, setUp.session()).with(Parameter.DESCRIPTION, description));
     }
 
--- a/node/src/test/java/spanrill/node/SettingsLimitsTest.java
+++ b/node/src/test/java/spanrill/node/SettingsLimitsTest.java
@@ -26,7 +26,7 @@
         int before = at.connections();
         assertNull(at.next(MessageType.TEST, 4500), "silent for longer than two notes");
         assertTrue(at.connections() > before, "a connection was tried");
-        assertEquals(1, node.sessions());
+        assertEquals(1, node.sessionCount());
     }
 
     /** One set-up on a connection at a time; what finds none is not sent. */
