--- a/bench-jmh/src/main/java/spanrill/bench/HttpParserBench.java
+++ b/bench-jmh/src/main/java/spanrill/bench/HttpParserBench.java
@@ -13,9 +13,9 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import spanrill.wire.http.HttpFault;
 import spanrill.wire.http.HttpLimits;
 import spanrill.wire.http.HttpParser;
+import spanrill.wire.http.HttpProtocolException;
 
 /** Requests as players send them, and a chunked answer; operations are messages. */
 @State(Scope.Thread)
@@ -38,12 +38,12 @@
     private long seen;
     private final HttpParser.Sink sink = new HttpParser.Sink() {
         @Override
-        public void body(ByteBuf part) {
+        public void onBody(ByteBuf part) {
             seen += part.readableBytes();
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             seen++;
         }
     };
@@ -52,7 +52,7 @@
 
     /** A player's request of 237 bytes. */
     @Benchmark
-    public long request() throws HttpFault {
+    public long request() throws HttpProtocolException {
         request.readerIndex(0);
         requests.feed(request);
         return seen;
@@ -60,7 +60,7 @@
 
     /** A chunked answer of 64 KiB. */
     @Benchmark
-    public long chunkedAnswer() throws HttpFault {
+    public long chunkedAnswer() throws HttpProtocolException {
         chunked.readerIndex(0);
         answers.feed(chunked);
         return seen;
--- a/cli/src/test/java/spanrill/path/HardCasesTest.java
+++ b/cli/src/test/java/spanrill/path/HardCasesTest.java
@@ -62,7 +62,7 @@
     @Test
     void manifestSegmentsRangesAndTheEnd() throws Exception {
         Mpd mpd = play("paid");
-        assertEquals("1", mpd.representations().get(0).id(), "the floor of the class");
+        assertEquals("1", mpd.videoRepresentations().get(0).id(), "the floor of the class");
         int top = mpd.rungInForce();
         ScriptedBox box = bench.boxes.stream()
                 .filter(b -> !b.setUps.isEmpty())
@@ -126,7 +126,7 @@
         assertEquals("ja", mpd.audio().lang());
         long audio = mpd.audio().representations().get(0).bandwidth();
         assertEquals(24 * 8000, audio);
-        assertEquals(200 * 8000 - audio, mpd.representations().get(0).bandwidth(), "audio is in the rate");
+        assertEquals(200 * 8000 - audio, mpd.videoRepresentations().get(0).bandwidth(), "audio is in the rate");
         ScriptedBox box = bench.boxes.stream()
                 .filter(b -> !b.setUps.isEmpty())
                 .findFirst()
@@ -136,7 +136,7 @@
             targets.add(x.head().target().replaceAll("/attempt/[^/]+", ""));
             x.respond(200, new Headers(), new byte[] {1, 2});
         };
-        String path = mpd.audio().path(mpd.audio().representations().get(0), 4);
+        String path = mpd.audio().segmentPath(mpd.audio().representations().get(0), 4);
         assertEquals(200, bench.get(bench.uri(mpd.baseUrl() + path)).statusCode());
         assertEquals(
                 200,
@@ -378,7 +378,7 @@
         bench.boxes.forEach(box -> box.onSegment = x -> {
             x.start(200, new Headers(), size);
             Runnable pump = () -> {
-                while (x.writable() && written.get() < size) {
+                while (x.isWritable() && written.get() < size) {
                     x.write(Unpooled.wrappedBuffer(new byte[64 * 1024]));
                     written.addAndGet(64 * 1024);
                 }
--- a/cli/src/test/java/spanrill/path/ScriptedBox.java
+++ b/cli/src/test/java/spanrill/path/ScriptedBox.java
@@ -38,11 +38,11 @@
 
     private void route(Exchange exchange) {
         String path = exchange.head().path();
-        if (path.equals(BoxLink.SETUP)) {
+        if (path.equals(BoxLink.SETUP_PATH)) {
             exchange.onClosed(() -> heard.add("closed"));
             setUps.add(exchange);
             onSetUp.accept(exchange);
-        } else if (path.equals(BoxLink.NOTES)) {
+        } else if (path.equals(BoxLink.NOTES_PATH)) {
             exchange.start(200, new Headers(), -1);
             exchange.write(Unpooled.copiedBuffer("hello\t\t1\n", java.nio.charset.StandardCharsets.US_ASCII));
         } else if (exchange.head().method().equals("GET")) {
--- a/front/src/main/java/spanrill/front/FrontDaemon.java
+++ b/front/src/main/java/spanrill/front/FrontDaemon.java
@@ -24,8 +24,8 @@
 import spanrill.loop.EventLoopScheduler;
 import spanrill.session.SessionCore;
 import spanrill.session.SpentTokenStore;
-import spanrill.wire.http.HttpFault;
 import spanrill.wire.http.HttpLimits;
+import spanrill.wire.http.HttpProtocolException;
 import spanrill.wire.http.HttpServer;
 import spanrill.wire.http.HttpServerHandler;
 
@@ -99,8 +99,8 @@
     }
 
     private Channel bind(DashViewerSide viewers) throws IOException {
-        HttpServerHandler.Times times =
-                new HttpServerHandler.Times(settings.limits().requestMs(), IDLE_CONNECTION_MS, PIPELINED_BYTES);
+        HttpServerHandler.ConnectionLimits times = new HttpServerHandler.ConnectionLimits(
+                settings.limits().requestMs(), IDLE_CONNECTION_MS, PIPELINED_BYTES);
         var future = HttpServer.bind(
                 group,
                 new InetSocketAddress(
@@ -119,8 +119,8 @@
         return future.channel();
     }
 
-    private static void refused(HttpFault fault) {
-        if (fault.tlsHello()) {
+    private static void refused(HttpProtocolException fault) {
+        if (fault.isTlsHello()) {
             EventLog.warn("viewer.tls", "reason", fault.getMessage());
         }
     }
--- a/front/src/main/java/spanrill/front/box/BoxPool.java
+++ b/front/src/main/java/spanrill/front/box/BoxPool.java
@@ -47,7 +47,7 @@
      * @param fresh true when only a connection of its own will do: one refused then proves that nothing ran
      */
     void take(boolean control, boolean fresh, Taker taker) {
-        idle.removeIf(connection -> !connection.free());
+        idle.removeIf(connection -> !connection.isAvailable());
         switch (policy.choose(control, fresh ? 0 : idle.size(), open, queue.size())) {
             case REUSE -> {
                 HttpClientConnection connection = idle.pollLast();
@@ -86,7 +86,7 @@
 
     /** An exchange is done with its connection. */
     void giveBack(HttpClientConnection connection) {
-        if (!connection.free()) {
+        if (!connection.isAvailable()) {
             return;
         }
         for (Taker waiting = queue.poll(); waiting != null; waiting = queue.poll()) {
@@ -113,7 +113,7 @@
     void close(Consumer<Taker> turnAway) {
         queue.forEach(turnAway);
         queue.clear();
-        idle.forEach(HttpClientConnection::abandon);
+        idle.forEach(HttpClientConnection::abort);
         idle.clear();
     }
 }
--- a/front/src/main/java/spanrill/front/box/HttpBoxSide.java
+++ b/front/src/main/java/spanrill/front/box/HttpBoxSide.java
@@ -104,7 +104,7 @@
 
     /** Tells a box to end an attempt that was given up; nobody waits for the answer. */
     void callOff(String box, String key) {
-        control(box, "DELETE", BoxLink.ATTEMPT + key, load -> {});
+        control(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, load -> {});
     }
 
     double now() {
@@ -121,23 +121,23 @@
             }
         };
         loop.schedule(() -> once.accept(false), (long) settings.limits().settleMs(), TimeUnit.MILLISECONDS);
-        exchange(box, "DELETE", BoxLink.ATTEMPT + key, (load, head) -> {
+        exchange(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, (load, head) -> {
             String ran = head == null ? null : head.headers().get(BoxLink.RAN);
-            double upMs = head == null || head.headers().get(BoxLink.UP_MS) == null
+            double upMs = head == null || head.headers().get(BoxLink.UPTIME_MS) == null
                     ? Double.NaN
-                    : BoxLink.number(head.headers().get(BoxLink.UP_MS));
+                    : BoxLink.parseNonNegative(head.headers().get(BoxLink.UPTIME_MS));
             once.accept(CancellationProof.provesNeverRan(ran == null ? null : ran.equals("1"), upMs, now() - sentAt));
         });
     }
 
     @Override
     public void rung(String box, String key, int rung) {
-        control(box, "POST", BoxLink.ATTEMPT + key + "/rung?to=" + rung, load -> {});
+        control(box, "POST", BoxLink.ATTEMPT_PATH_PREFIX + key + "/rung?to=" + rung, load -> {});
     }
 
     @Override
     public void release(String box, String key, Consumer<Load> done) {
-        control(box, "DELETE", BoxLink.ATTEMPT + key, done);
+        control(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, done);
     }
 
     private void control(String box, String method, String target, Consumer<Load> done) {
@@ -191,25 +191,25 @@
         }
 
         @Override
-        public void head(ResponseHead head) {
+        public void onHead(ResponseHead head) {
             seen = head;
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             pool.giveBack(connection);
             answered = true;
             finish();
         }
 
         @Override
-        public void lost(HttpClientConnection.Loss loss, String reason) {
+        public void onFailure(HttpClientConnection.Failure loss, String reason) {
             finish();
         }
 
         void late() {
             if (!over && connection != null) {
-                connection.abandon();
+                connection.abort();
             }
             finish();
         }
@@ -218,7 +218,8 @@
             if (!over) {
                 over = true;
                 ResponseHead whole = answered ? seen : null;
-                done.accept(whole == null ? null : BoxLink.load(whole.headers().get(BoxLink.LOAD)), whole);
+                done.accept(
+                        whole == null ? null : BoxLink.parseLoad(whole.headers().get(BoxLink.LOAD)), whole);
             }
         }
     }
--- a/front/src/main/java/spanrill/front/box/NotesStream.java
+++ b/front/src/main/java/spanrill/front/box/NotesStream.java
@@ -54,8 +54,8 @@
                 HttpLimits.CLIENT,
                 opened -> {
                     connection = opened;
-                    if (closed || !opened.send("GET", BoxLink.NOTES, side.headers(), new byte[0], this)) {
-                        opened.abandon();
+                    if (closed || !opened.send("GET", BoxLink.NOTES_PATH, side.headers(), new byte[0], this)) {
+                        opened.abort();
                     }
                 },
                 cause -> {
@@ -67,7 +67,7 @@
     void close() {
         closed = true;
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
         }
     }
 
@@ -92,14 +92,14 @@
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         if (head.status() != 200) {
             EventLog.warn("notes.refused", "box", box, "status", head.status());
         }
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void onData(ByteBuf part) {
         watch.onData();
         while (part.isReadable()) {
             byte next = part.readByte();
@@ -108,8 +108,8 @@
                 line.reset();
             } else if (line.size() >= MOST_LINE) {
                 EventLog.warn("notes.malformed", "box", box, "reason", "a line is too long");
-                connection.abandon();
-                lost(HttpClientConnection.Loss.MALFORMED, "line too long");
+                connection.abort();
+                onFailure(HttpClientConnection.Failure.MALFORMED, "line too long");
                 return;
             } else {
                 line.write(next);
@@ -138,12 +138,12 @@
     }
 
     @Override
-    public void end() {
-        lost(HttpClientConnection.Loss.CLOSED, "the stream ended");
+    public void onEnd() {
+        onFailure(HttpClientConnection.Failure.CLOSED, "the stream ended");
     }
 
     @Override
-    public void lost(HttpClientConnection.Loss loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure loss, String reason) {
         line.reset();
         follow(watch.onStreamBroken(core.anyAt(box)));
     }
--- a/front/src/main/java/spanrill/front/box/SegmentFetch.java
+++ b/front/src/main/java/spanrill/front/box/SegmentFetch.java
@@ -24,7 +24,7 @@
             HttpBoxSide side, BoxPool pool, String key, String path, String range, SegmentSource.SegmentSink sink) {
         this.side = side;
         this.pool = pool;
-        this.target = BoxLink.ATTEMPT + key + "/" + path;
+        this.target = BoxLink.ATTEMPT_PATH_PREFIX + key + "/" + path;
         this.range = range;
         this.sink = sink;
     }
@@ -40,18 +40,18 @@
             headers.add("range", range);
         }
         if (!connection.send("GET", target, headers, NO_BODY, this)) {
-            lost(0, "the connection ended");
+            onFailure(0, "the connection ended");
         }
         return true;
     }
 
     @Override
     public void none(OutcomeTable.Event why) {
-        lost(0, why.toString());
+        onFailure(0, why.toString());
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         if (head.status() == 200 || head.status() == 206) {
             sink.head(head);
         } else {
@@ -60,17 +60,17 @@
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void onData(ByteBuf part) {
         if (!over && refusedStatus == 0) {
             sink.data(part);
         }
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         pool.giveBack(connection);
         if (refusedStatus != 0) {
-            lost(refusedStatus, "the box answered " + refusedStatus);
+            onFailure(refusedStatus, "the box answered " + refusedStatus);
         } else if (!over) {
             over = true;
             sink.end();
@@ -78,11 +78,11 @@
     }
 
     @Override
-    public void lost(HttpClientConnection.Loss loss, String reason) {
-        lost(0, reason);
+    public void onFailure(HttpClientConnection.Failure loss, String reason) {
+        onFailure(0, reason);
     }
 
-    private void lost(int status, String reason) {
+    private void onFailure(int status, String reason) {
         if (!over) {
             over = true;
             sink.lost(status, reason);
@@ -92,7 +92,7 @@
     @Override
     public void reading(boolean on) {
         if (connection != null && !over) {
-            connection.reading(on);
+            connection.setAutoRead(on);
         }
     }
 
@@ -101,7 +101,7 @@
         if (!over) {
             over = true;
             if (connection != null) {
-                connection.abandon();
+                connection.abort();
             }
         }
     }
--- a/front/src/main/java/spanrill/front/box/SetUpAttempt.java
+++ b/front/src/main/java/spanrill/front/box/SetUpAttempt.java
@@ -44,7 +44,7 @@
         connection = given;
         stage = Stage.CONNECTED;
         Headers headers = side.headers()
-                .add(BoxLink.KEY, order.key())
+                .add(BoxLink.ATTEMPT_KEY, order.key())
                 .add(BoxLink.TOKEN, order.request().tokenId())
                 .add(BoxLink.CLASS, order.request().className())
                 .add(BoxLink.TITLE, order.request().title())
@@ -53,7 +53,7 @@
         if (order.continues() != null) {
             headers.add(BoxLink.CONTINUES, order.continues());
         }
-        if (connection.send("POST", BoxLink.SETUP, headers, NO_BODY, this)) {
+        if (connection.send("POST", BoxLink.SETUP_PATH, headers, NO_BODY, this)) {
             stage = Stage.WRITTEN;
             sentAt = side.now();
         } else {
@@ -68,8 +68,8 @@
     }
 
     @Override
-    public void head(ResponseHead head) {
-        load = BoxLink.load(head.headers().get(BoxLink.LOAD));
+    public void onHead(ResponseHead head) {
+        load = BoxLink.parseLoad(head.headers().get(BoxLink.LOAD));
         refusal = OutcomeTable.classifyStatus(head.status(), head.headers().get(BoxLink.REASON));
         if (refusal == null) {
             stage = Stage.ANSWERING;
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void onData(ByteBuf part) {
         if (refusal == null && !over) {
             over = true;
             listener.plays();
@@ -85,14 +85,14 @@
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         pool.giveBack(connection);
         // A success without a media byte is no session.
         finish(refusal == null ? Event.ERROR_STATUS : refusal);
     }
 
     @Override
-    public void lost(HttpClientConnection.Loss loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure loss, String reason) {
         finish(
                 switch (loss) {
                     case RESET -> Event.RESET;
@@ -136,7 +136,7 @@
         if (!over) {
             over = true;
             if (connection != null) {
-                connection.abandon();
+                connection.abort();
                 if (!settling) {
                     side.callOff(order.box(), order.key());
                 }
--- a/front/src/main/java/spanrill/front/dash/Cors.java
+++ b/front/src/main/java/spanrill/front/dash/Cors.java
@@ -23,7 +23,7 @@
         if (origin == null || !(origins.contains("*") || origins.contains(origin))) {
             return false;
         }
-        exchange.also(Headers.of(
+        exchange.setExtraHeaders(Headers.of(
                 "access-control-allow-origin",
                 origins.contains("*") ? "*" : origin,
                 "vary",
--- a/front/src/main/java/spanrill/front/dash/DashViewerSide.java
+++ b/front/src/main/java/spanrill/front/dash/DashViewerSide.java
@@ -115,12 +115,12 @@
                                 "none",
                                 verdict.fault().getMessage(),
                                 0);
-                    } else if (!exchange.over()) {
+                    } else if (!exchange.isEnded()) {
                         offer(exchange, verdict.token(), arrivedAt);
                     }
                 });
-        if (!exchange.started()) {
-            exchange.onGone(leave);
+        if (!exchange.isStarted()) {
+            exchange.onClosedIfUnset(leave);
         }
     }
 
@@ -152,7 +152,7 @@
         if (bearer != null && bearer.regionMatches(true, 0, "Bearer ", 0, 7)) {
             return bearer.substring(7).trim();
         }
-        return exchange.head().query("token");
+        return exchange.head().queryParameter("token");
     }
 
     private void segment(Exchange exchange, Matcher path) {
--- a/front/src/main/java/spanrill/front/dash/ManifestCall.java
+++ b/front/src/main/java/spanrill/front/dash/ManifestCall.java
@@ -83,7 +83,7 @@
         Title title = session.title();
         int floor = session.type().floor();
         double audio = TrackRates.audioRate(title.audioKb(), kb(settings, session, floor));
-        Timeline timeline = Timeline.of(title.durationMs(), title.segmentMs());
+        Timeline timeline = Timeline.repeating(title.durationMs(), title.segmentMs());
         List<Mpd.Representation> rungs = new ArrayList<>();
         for (int rung = floor; rung <= Math.max(floor, session.rung()); rung++) {
             double video = TrackRates.videoRate(kb(settings, session, rung), audio);
--- a/front/src/main/java/spanrill/front/dash/Relay.java
+++ b/front/src/main/java/spanrill/front/dash/Relay.java
@@ -45,7 +45,7 @@
 
     /** Begins, or goes on after a move. */
     void run() {
-        if (exchange.over()) {
+        if (exchange.isEnded()) {
             return;
         }
         core.seen(session);
@@ -67,7 +67,7 @@
         tag = "\"" + session.title().name() + "." + (asked == NO_RUNG ? "" : rung + ".") + name + "\"";
         if (tries == 0) {
             told();
-            if (exchange.head().headers().lists("if-none-match", tag)) {
+            if (exchange.head().headers().containsToken("if-none-match", tag)) {
                 // RFC 9110 section 13.1.2: media never changes, so the name of what would be served decides.
                 exchange.respond(304, Headers.of("etag", tag), new byte[0]);
                 return;
@@ -82,7 +82,7 @@
 
     /** What the player tells of itself is kept with its session. */
     private void told() {
-        String query = exchange.head().query("CMCD");
+        String query = exchange.head().queryParameter("CMCD");
         String text = query;
         if (text == null) {
             Headers headers = exchange.head().headers();
@@ -98,7 +98,7 @@
     private String range() {
         String range = exchange.head().headers().get("range");
         // RFC 9110 section 14.2: a range that isn't understood is passed over.
-        return spanrill.wire.http.ByteRange.understood(range) ? range : null;
+        return spanrill.wire.http.ByteRange.isSupported(range) ? range : null;
     }
 
     private void over() {
@@ -126,14 +126,14 @@
         if (range != null) {
             headers.add("content-range", range);
         }
-        exchange.start(head.status(), headers, head.length());
+        exchange.start(head.status(), headers, head.contentLength());
     }
 
     @Override
     public void data(ByteBuf part) {
         core.seen(session);
         exchange.write(part.retain());
-        if (!exchange.writable()) {
+        if (!exchange.isWritable()) {
             reading(false);
         }
     }
@@ -154,10 +154,10 @@
     @Override
     public void lost(int status, String reason) {
         segment = null;
-        if (exchange.over()) {
+        if (exchange.isEnded()) {
             return;
         }
-        SegmentRetryPolicy.Decision choice = SegmentRetryPolicy.decide(exchange.started(), status, tries);
+        SegmentRetryPolicy.Decision choice = SegmentRetryPolicy.decide(exchange.isStarted(), status, tries);
         if (choice.sessionLost()) {
             core.lost(key, SessionEnd.BOX_FORGOT);
         }
--- a/front/src/main/java/spanrill/front/list/ListClient.java
+++ b/front/src/main/java/spanrill/front/list/ListClient.java
@@ -76,7 +76,7 @@
         if (closed) {
             return;
         }
-        if (connection != null && connection.free()) {
+        if (connection != null && connection.isAvailable()) {
             ask();
             return;
         }
@@ -97,7 +97,7 @@
         body.reset();
         late = loop.schedule(
                 () -> {
-                    connection.abandon();
+                    connection.abort();
                     failed("no answer in time");
                 },
                 POLL_MS,
@@ -110,15 +110,15 @@
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         status = head.status();
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void onData(ByteBuf part) {
         if (body.size() + part.readableBytes() > MOST_BYTES) {
             late.cancel(false);
-            connection.abandon();
+            connection.abort();
             failed("the list is larger than " + MOST_BYTES + " bytes");
             return;
         }
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         late.cancel(false);
         if (status == 204) {
             backoff.reset();
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void lost(HttpClientConnection.Loss loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure loss, String reason) {
         late.cancel(false);
         failed(reason);
     }
@@ -194,7 +194,7 @@
     public void close() {
         closed = true;
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
         }
     }
 }
--- a/node/src/main/java/spanrill/node/WarmUp.java
+++ b/node/src/main/java/spanrill/node/WarmUp.java
@@ -22,7 +22,7 @@
 import spanrill.node.session.SessionHost;
 import spanrill.session.EventSink;
 import spanrill.session.VirtualTimeScheduler;
-import spanrill.wire.platform.FieldFault;
+import spanrill.wire.platform.InvalidFieldException;
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageDecoder;
 import spanrill.wire.platform.MessageType;
@@ -91,7 +91,7 @@
                 .with(Parameter.CLASS, classes.get(number % classes.size()).name())
                 .with(Parameter.WAIT, "1000")
                 .with(Parameter.TITLE, HexFormat.of().toHexDigits(number % 50L))
-                .with(Parameter.FIGURES, text)
+                .with(Parameter.ATTRIBUTES, text)
                 .with(Parameter.DESCRIPTION, "warm".getBytes(StandardCharsets.US_ASCII)));
         try {
             SetUp setUp = SetUp.of(message);
@@ -99,7 +99,7 @@
                 host.setUp(setUp, viewer, setUp.waitMs());
                 asked++;
             }
-        } catch (FieldFault fault) {
+        } catch (InvalidFieldException fault) {
             throw new IllegalStateException("the warm-up's own set-up", fault);
         }
     }
--- a/node/src/main/java/spanrill/node/client/ClientConnection.java
+++ b/node/src/main/java/spanrill/node/client/ClientConnection.java
@@ -22,8 +22,8 @@
 import spanrill.node.session.End;
 import spanrill.node.session.SessionHost;
 import spanrill.wire.platform.Cause;
-import spanrill.wire.platform.FieldFault;
-import spanrill.wire.platform.FrameFault;
+import spanrill.wire.platform.InvalidFieldException;
+import spanrill.wire.platform.MalformedFrameException;
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageDecoder;
 import spanrill.wire.platform.MessageType;
@@ -98,8 +98,8 @@
                 decoder.feed(in, this::message);
                 messageBeganAt = messageBegan();
             }
-        } catch (FrameFault fault) {
-            decoder.drop();
+        } catch (MalformedFrameException fault) {
+            decoder.release();
             drain(CloseReason.UNREADABLE);
         } finally {
             in.release();
@@ -113,7 +113,7 @@
     }
 
     private double messageBegan() {
-        if (!decoder.within()) {
+        if (!decoder.hasPartialMessage()) {
             return Double.NaN;
         }
         return Double.isNaN(messageBeganAt) ? Clock.monotonicMs() : messageBeganAt;
@@ -128,7 +128,7 @@
                 switch (message.type()) {
                     case SET_UP -> setUp(message);
                     case RELEASE -> free(message, host.released(message.session()));
-                    case RELEASE_HEARD -> free(message, host.heard(message.session()));
+                    case RELEASE_ACKNOWLEDGED -> free(message, host.heard(message.session()));
                     case TEST -> free(message, test(message));
                     default -> free(message, false);
                 };
@@ -156,10 +156,10 @@
         SetUp setUp;
         try {
             setUp = SetUp.of(message);
-        } catch (FieldFault fault) {
+        } catch (InvalidFieldException fault) {
             return reject(message.session(), fault.releaseCause(), fault.getMessage());
         }
-        boolean stands = setUp.figures().at() != null;
+        boolean stands = setUp.attributes().currentServer() != null;
         if (host.knows(setUp.session())) {
             return stands || repeated(setUp.session());
         }
@@ -298,7 +298,7 @@
         recentAnswers.recordAnswer(Clock.monotonicMs(), session);
         Message message = new Message(MessageType.RELEASE, session).withCause(cause);
         if (retryAfter && stayAwayMs >= 1) {
-            message.with(Parameter.STAY_AWAY, Long.toString(Math.round(stayAwayMs)));
+            message.with(Parameter.RETRY_AFTER, Long.toString(Math.round(stayAwayMs)));
         }
         return send(message);
     }
@@ -459,7 +459,7 @@
                 discardedRequests,
                 messages,
                 Clock.monotonicMs() - acceptedAt));
-        decoder.drop();
+        decoder.release();
         host.linkEnded(new ArrayList<>(openRequests));
         openRequests.clear();
     }
--- a/node/src/main/java/spanrill/node/client/ClientListener.java
+++ b/node/src/main/java/spanrill/node/client/ClientListener.java
@@ -22,7 +22,7 @@
 import spanrill.node.session.ClientLink;
 import spanrill.node.session.SessionHost;
 import spanrill.session.EventSink;
-import spanrill.wire.Listening;
+import spanrill.wire.TcpListener;
 import spanrill.wire.platform.Message;
 
 /** Listens for viewers and for the platform's tests. */
@@ -69,7 +69,7 @@
         loop.scheduleAtFixedRate(() -> nextIteration.execute(this::onTick), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
                 () -> unread.onLoopIteration(Clock.monotonicMs()), 0, ROUND_MS, TimeUnit.MILLISECONDS);
-        return Listening.bind(group, address, BACKLOG, MARKS, this::accept);
+        return TcpListener.bind(group, address, BACKLOG, MARKS, this::accept);
     }
 
     private void accept(SocketChannel channel) {
--- a/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
+++ b/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
@@ -12,11 +12,11 @@
 import spanrill.node.config.ServerListUpdate;
 import spanrill.session.EventSink;
 import spanrill.setup.SetupFault;
-import spanrill.wire.http.EventStream;
+import spanrill.wire.http.EventStreamParser;
 import spanrill.wire.http.Headers;
 import spanrill.wire.http.HttpClientConnection;
-import spanrill.wire.http.HttpFault;
 import spanrill.wire.http.HttpLimits;
+import spanrill.wire.http.HttpProtocolException;
 import spanrill.wire.http.ResponseHead;
 
 /**
@@ -103,7 +103,7 @@
 
     /** One answer of discovery. */
     private final class Stream implements HttpClientConnection.Listener {
-        private final EventStream events = new EventStream(MOST_EVENT, this::event);
+        private final EventStreamParser events = new EventStreamParser(MOST_EVENT, this::event);
         private HttpClientConnection connection;
 
         void opened(HttpClientConnection opened) {
@@ -122,7 +122,7 @@
 
         void abandon() {
             if (connection != null) {
-                connection.abandon();
+                connection.abort();
             }
         }
 
@@ -136,7 +136,7 @@
         }
 
         @Override
-        public void head(ResponseHead head) {
+        public void onHead(ResponseHead head) {
             if (head.status() != 200) {
                 log.info("discovery.refused", "status", head.status());
                 broken();
@@ -146,14 +146,14 @@
         }
 
         @Override
-        public void data(ByteBuf part) {
+        public void onData(ByteBuf part) {
             if (stream != this) {
                 return;
             }
             watch.onData(Clock.monotonicMs());
             try {
                 events.feed(part);
-            } catch (HttpFault fault) {
+            } catch (HttpProtocolException fault) {
                 log.info("discovery.malformed", "reason", fault.getMessage());
                 broken();
             }
@@ -185,12 +185,12 @@
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             broken();
         }
 
         @Override
-        public void lost(HttpClientConnection.Loss loss, String reason) {
+        public void onFailure(HttpClientConnection.Failure loss, String reason) {
             broken();
         }
     }
--- a/node/src/main/java/spanrill/node/server/ServerConnection.java
+++ b/node/src/main/java/spanrill/node/server/ServerConnection.java
@@ -36,12 +36,12 @@
 import spanrill.node.session.SessionHost;
 import spanrill.setup.SetupReader;
 import spanrill.wire.platform.Cause;
-import spanrill.wire.platform.FrameFault;
+import spanrill.wire.platform.LoadReport;
+import spanrill.wire.platform.MalformedFrameException;
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageDecoder;
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
-import spanrill.wire.platform.Report;
 import spanrill.wire.platform.SetUp;
 
 /**
@@ -279,7 +279,7 @@
                 server.heard();
                 decoder.feed(in, this::message);
             }
-        } catch (FrameFault fault) {
+        } catch (MalformedFrameException fault) {
             finish(Event.RESET, false);
             ctx.close();
         } finally {
@@ -295,7 +295,7 @@
             case ANSWER -> answer(message);
             case RELEASE -> release(message);
             case NOTE -> note(message);
-            case RELEASE_HEARD -> unacknowledged.acknowledge(message.session());
+            case RELEASE_ACKNOWLEDGED -> unacknowledged.acknowledge(message.session());
             default -> {}
         }
         return !over;
@@ -309,7 +309,7 @@
         }
         usedAt = heardAt;
         byte[] description = message.get(Parameter.DESCRIPTION);
-        if (description == null || message.repeated()) {
+        if (description == null || message.hasDuplicateParameter()) {
             // Framed well, yet no answer: what else comes here can't be trusted either.
             suspect = true;
             server.possiblyEstablished(attempt.session());
@@ -339,7 +339,7 @@
 
     private void note(Message message) {
         String kind = message.text(Parameter.NOTE_KIND);
-        double value = Report.number(message.text(Parameter.FIGURE));
+        double value = LoadReport.parseFinite(message.text(Parameter.NOTE_VALUE));
         NoteKind told = kind == null
                 ? null
                 : switch (kind) {
@@ -355,7 +355,7 @@
     }
 
     private static Load load(Message message) {
-        Map<String, Double> report = Report.parse(message.text(Parameter.REPORT));
+        Map<String, Double> report = LoadReport.parse(message.text(Parameter.LOAD_REPORT));
         return report == null ? null : SetupReader.load(report);
     }
 
@@ -377,7 +377,7 @@
             return;
         }
         over = true;
-        decoder.drop();
+        decoder.release();
         List<Attempt> lost = new ArrayList<>(open.values());
         Set<Attempt> unsent = Set.copyOf(unwritten);
         open.clear();
--- a/node/src/main/java/spanrill/node/session/NodeSession.java
+++ b/node/src/main/java/spanrill/node/session/NodeSession.java
@@ -26,7 +26,7 @@
     NodeSession(SetUp setUp, ClientLink link, boolean once) {
         id = setUp.session();
         name = HexFormat.of().toHexDigits(id);
-        viewer = setUp.figures().viewer();
+        viewer = setUp.attributes().viewer();
         this.setUp = setUp;
         this.link = link;
         state = new SessionState(once);
--- a/node/src/main/java/spanrill/node/session/SessionHost.java
+++ b/node/src/main/java/spanrill/node/session/SessionHost.java
@@ -154,7 +154,7 @@
     /** A session that plays at a server already. */
     public void standsAt(SetUp setUp, ClientLink link) {
         NodeSession session = new NodeSession(setUp, link, limits.once(setUp.className()));
-        session.server = setUp.figures().at();
+        session.server = setUp.attributes().currentServer();
         trace.info("takenOver", "id", session.name(), "server", session.server);
         session.state().apply(Event.SEND);
         session.state().apply(Event.PLAYS);
@@ -197,11 +197,11 @@
                 session.viewer(),
                 asked.title(),
                 leftMs,
-                asked.figures().home(),
-                asked.figures().copies(),
-                asked.figures().top(),
+                asked.attributes().home(),
+                asked.attributes().copies(),
+                asked.attributes().top(),
                 back,
-                back || asked.figures().again());
+                back || asked.attributes().returning());
     }
 
     /** A viewer gives a set-up up or ends its session; true when there was one. */
--- a/node/src/main/java/spanrill/node/session/SetUpLimits.java
+++ b/node/src/main/java/spanrill/node/session/SetUpLimits.java
@@ -20,10 +20,10 @@
     /** True when the settings have such a class, cells, copies and a rung as this asks for. */
     boolean allow(SetUp setUp) {
         return onceByClass.containsKey(setUp.className())
-                && setUp.figures().home() < cells
-                && setUp.figures().copies() >= 1
-                && setUp.figures().copies() <= cells
-                && setUp.figures().top() < rungs;
+                && setUp.attributes().home() < cells
+                && setUp.attributes().copies() >= 1
+                && setUp.attributes().copies() <= cells
+                && setUp.attributes().top() < rungs;
     }
 
     /** True when a set-up of this class may not run twice. */
--- a/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
+++ b/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
@@ -72,7 +72,7 @@
         }
         for (int i = 0; i < MANY; i++) {
             switch (habit) {
-                case ACKNOWLEDGES -> client.send(new Message(MessageType.RELEASE_HEARD, refused(client)));
+                case ACKNOWLEDGES -> client.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, refused(client)));
                 case CANCELS_LATE -> client.send(new Message(MessageType.RELEASE, refused(client)).withCause(16));
                 case ASKS_FOR_UNKNOWN_CLASSES -> {
                     client.send(setUp(9000 + i, "gold", ""));
--- a/node/src/test/java/spanrill/node/CrossingsTest.java
+++ b/node/src/test/java/spanrill/node/CrossingsTest.java
@@ -441,7 +441,7 @@
         got.wire().send(new Message(MessageType.RELEASE, id).withCause(16));
         assertEquals(id, viewer.next(SOON).session());
         assertFalse(done.await(600, TimeUnit.MILLISECONDS));
-        viewer.send(new Message(MessageType.RELEASE_HEARD, id));
+        viewer.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, id));
         assertTrue(done.await(500, TimeUnit.MILLISECONDS));
     }
 
@@ -458,7 +458,7 @@
                 .with(Parameter.CLASS, "paid")
                 .with(Parameter.WAIT, "8000")
                 .with(Parameter.TITLE, "7f3a9c21e0b4d655")
-                .with(Parameter.FIGURES, "home:0;copies:1;top:2;viewer:00000000b4d65521")
+                .with(Parameter.ATTRIBUTES, "home:0;copies:1;top:2;viewer:00000000b4d65521")
                 .with(Parameter.DESCRIPTION, "v=0");
         viewer.send(patient);
         assertTrue(done.await(3700, TimeUnit.MILLISECONDS));
--- a/node/src/test/java/spanrill/node/FrontNodeTest.java
+++ b/node/src/test/java/spanrill/node/FrontNodeTest.java
@@ -58,7 +58,7 @@
                     .with(Parameter.CLASS, "free")
                     .with(Parameter.WAIT, "inf")
                     .with(Parameter.TITLE, "7f3a9c21e0b4d655")
-                    .with(Parameter.FIGURES, "home:0;copies:1;top:2;viewer:00000000b4d65521;at:s-1")
+                    .with(Parameter.ATTRIBUTES, "home:0;copies:1;top:2;viewer:00000000b4d65521;at:s-1")
                     .with(Parameter.DESCRIPTION, "v=0");
             viewer.send(stands);
             viewer.send(stands);
@@ -118,7 +118,7 @@
         playing(second, "free");
         assertEquals(id, second.next(SOON).session());
         assertEquals(id, second.next(SOON).session(), "not heard: again");
-        second.send(new Message(MessageType.RELEASE_HEARD, id));
+        second.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, id));
         Message more = second.next(600);
         assertTrue(more == null || second.next(600) == null, "heard: no further one but what crossed");
     }
--- a/node/src/test/java/spanrill/node/HostileServersTest.java
+++ b/node/src/test/java/spanrill/node/HostileServersTest.java
@@ -51,7 +51,7 @@
                 judge.nonExecutionProved(message.session());
                 wire.send(new Message(MessageType.RELEASE, message.session())
                         .withCause(34)
-                        .with(Parameter.REPORT, "x0:1.3;x1:noise"));
+                        .with(Parameter.LOAD_REPORT, "x0:1.3;x1:noise"));
             } else {
                 one.answer(wire, message);
             }
--- a/node/src/test/java/spanrill/node/HostileViewersTest.java
+++ b/node/src/test/java/spanrill/node/HostileViewersTest.java
@@ -33,7 +33,7 @@
                 .with(Parameter.WAIT, "900")
                 .with(Parameter.TITLE, "7f3a9c21e0b4d655")
                 .with(Parameter.DESCRIPTION, "v=0")
-                .with(Parameter.FIGURES, "home:9;copies:1;top:2;viewer:00000000b4d65521"));
+                .with(Parameter.ATTRIBUTES, "home:9;copies:1;top:2;viewer:00000000b4d65521"));
         assertEquals(100, viewer.next(SOON).cause());
         playing(viewer, "free");
     }
--- a/node/src/test/java/spanrill/node/NodeBench.java
+++ b/node/src/test/java/spanrill/node/NodeBench.java
@@ -136,7 +136,7 @@
                 .with(Parameter.CLASS, className)
                 .with(Parameter.WAIT, "1500")
                 .with(Parameter.TITLE, "7f3a9c21e0b4d655")
-                .with(Parameter.FIGURES, "home:0;copies:1;top:2;viewer:" + String.format("%016x", id) + more)
+                .with(Parameter.ATTRIBUTES, "home:0;copies:1;top:2;viewer:" + String.format("%016x", id) + more)
                 .with(Parameter.DESCRIPTION, "v=0".getBytes(StandardCharsets.UTF_8));
     }
 
--- a/node/src/test/java/spanrill/node/Wire.java
+++ b/node/src/test/java/spanrill/node/Wire.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import spanrill.wire.platform.FrameFault;
+import spanrill.wire.platform.MalformedFrameException;
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageDecoder;
 
@@ -85,7 +85,7 @@
             beforeClose.run();
             socket.close();
             ended.add("closed");
-        } catch (IOException | FrameFault e) {
+        } catch (IOException | MalformedFrameException e) {
             ended.add("reset");
         }
     }
--- a/node/src/test/java/spanrill/node/session/SessionHostTest.java
+++ b/node/src/test/java/spanrill/node/session/SessionHostTest.java
@@ -28,7 +28,7 @@
 import spanrill.session.HandClock;
 import spanrill.setup.Pairs;
 import spanrill.setup.SetupReader;
-import spanrill.wire.platform.Figures;
+import spanrill.wire.platform.RequestAttributes;
 import spanrill.wire.platform.SetUp;
 
 /** The host on a clock that the test moves, with peers that do what the test says. */
@@ -138,7 +138,7 @@
                 className,
                 1000,
                 "000000000000000a",
-                new Figures(0, 1, 2, String.format("%016x", id), false, at),
+                new RequestAttributes(0, 1, 2, String.format("%016x", id), false, at),
                 new byte[] {1});
     }
 
--- a/soak/src/main/java/spanrill/soak/BadClient.java
+++ b/soak/src/main/java/spanrill/soak/BadClient.java
@@ -7,7 +7,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import spanrill.wire.platform.FrameFault;
+import spanrill.wire.platform.MalformedFrameException;
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageDecoder;
 import spanrill.wire.platform.MessageType;
@@ -94,7 +94,7 @@
                 .with(Parameter.CLASS, className)
                 .with(Parameter.WAIT, "1000")
                 .with(Parameter.TITLE, "00000000000000aa")
-                .with(Parameter.FIGURES, figures + ";viewer:00000000000000bb")
+                .with(Parameter.ATTRIBUTES, figures + ";viewer:00000000000000bb")
                 .with(Parameter.DESCRIPTION, "v");
     }
 
@@ -128,7 +128,7 @@
                 }
                 return true;
             });
-        } catch (FrameFault fault) {
+        } catch (MalformedFrameException fault) {
             ctx.close();
         } finally {
             in.release();
@@ -144,7 +144,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        decoder.drop();
+        decoder.release();
         satisfied();
     }
 
--- a/soak/src/main/java/spanrill/soak/ClientConnection.java
+++ b/soak/src/main/java/spanrill/soak/ClientConnection.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import spanrill.wire.platform.FrameFault;
+import spanrill.wire.platform.MalformedFrameException;
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageDecoder;
 
@@ -153,7 +153,7 @@
                 listener.heard(this, message);
                 return true;
             });
-        } catch (FrameFault fault) {
+        } catch (MalformedFrameException fault) {
             unreadable = true;
             channel.close();
         } finally {
@@ -177,7 +177,7 @@
             return;
         }
         ended = true;
-        decoder.drop();
+        decoder.release();
         if (!closedHere) {
             log.add(EventKind.NODE_CLOSED, node.index(), "", 0, number, reset ? 1 : 0);
             List<ClientRequest> unanswered = new ArrayList<>(open.values());
--- a/soak/src/main/java/spanrill/soak/ClientPopulation.java
+++ b/soak/src/main/java/spanrill/soak/ClientPopulation.java
@@ -212,7 +212,7 @@
                 log.add(EventKind.CLIENT_RELEASED, node, "", message.session(), on.number(), message.cause());
                 standing.remove(message.session());
                 if (random.nextDouble() < trial.clients().acknowledges()) {
-                    on.send(new Message(MessageType.RELEASE_HEARD, message.session()));
+                    on.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, message.session()));
                 }
                 ClientRequest request = on.request(message.session());
                 if (request != null) {
--- a/soak/src/main/java/spanrill/soak/ClientRequest.java
+++ b/soak/src/main/java/spanrill/soak/ClientRequest.java
@@ -96,7 +96,7 @@
                 .with(Parameter.CLASS, plan.name())
                 .with(Parameter.WAIT, wait)
                 .with(Parameter.TITLE, String.format(Locale.ROOT, "%016x", title))
-                .with(Parameter.FIGURES, "home:" + home + ";copies:2;top:2;viewer:" + viewer + more)
+                .with(Parameter.ATTRIBUTES, "home:" + home + ";copies:2;top:2;viewer:" + viewer + more)
                 .with(Parameter.DESCRIPTION, "v=0".getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/soak/src/main/java/spanrill/soak/ServerStandIn.java
+++ b/soak/src/main/java/spanrill/soak/ServerStandIn.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import spanrill.wire.platform.Cause;
-import spanrill.wire.platform.FrameFault;
+import spanrill.wire.platform.MalformedFrameException;
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageDecoder;
 import spanrill.wire.platform.MessageType;
@@ -164,7 +164,7 @@
                     usedAt = log.now();
                     decoder.feed(in, this::heard);
                 }
-            } catch (FrameFault fault) {
+            } catch (MalformedFrameException fault) {
                 channel.close();
             } finally {
                 in.release();
@@ -178,7 +178,7 @@
                 case TEST ->
                     send(new Message(MessageType.TEST_RESULT, message.session())
                             .withCause(1)
-                            .with(Parameter.REPORT, "inflight:" + attempts.size()));
+                            .with(Parameter.LOAD_REPORT, "inflight:" + attempts.size()));
                 default -> {}
             }
             return channel.isOpen();
@@ -288,7 +288,7 @@
 
         private void drop(EventKind how) {
             connections.remove(this);
-            decoder.drop();
+            decoder.release();
             new ArrayList<>(attempts).forEach(session -> log.add(how, node, id, session, 0, 0));
             attempts.clear();
         }
--- a/standin/src/main/java/spanrill/standin/Net.java
+++ b/standin/src/main/java/spanrill/standin/Net.java
@@ -13,7 +13,8 @@
 
 /** Listening on loopback. */
 public final class Net {
-    private static final HttpServerHandler.Times TIMES = new HttpServerHandler.Times(10_000, 120_000, 64 * 1024);
+    private static final HttpServerHandler.ConnectionLimits TIMES =
+            new HttpServerHandler.ConnectionLimits(10_000, 120_000, 64 * 1024);
 
     private Net() {}
 
--- a/standin/src/main/java/spanrill/standin/box/BoxNotes.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxNotes.java
@@ -36,8 +36,8 @@
     /** Tells now. A front that doesn't read its notes misses them. */
     void tell(int front, Note note) {
         Exchange exchange = streams.get(front);
-        if (exchange != null && !exchange.over() && exchange.writable()) {
-            exchange.write(Unpooled.wrappedBuffer(note.line().getBytes(StandardCharsets.US_ASCII)));
+        if (exchange != null && !exchange.isEnded() && exchange.isWritable()) {
+            exchange.write(Unpooled.wrappedBuffer(note.format().getBytes(StandardCharsets.US_ASCII)));
         }
     }
 
@@ -57,7 +57,7 @@
 
     /** Forgets streams that have ended. */
     void sweep() {
-        streams.values().removeIf(Exchange::over);
+        streams.values().removeIf(Exchange::isEnded);
     }
 
     /** The process died. */
--- a/standin/src/main/java/spanrill/standin/box/BoxShaper.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxShaper.java
@@ -30,7 +30,7 @@
 
     BoxShaper(Day day, LinkNetwork network, int cell, Condition condition, ModelTime modelTime) {
         this.day = day;
-        timeline = Timeline.of(day.titles().durationMs(), day.titles().lengthsMs());
+        timeline = Timeline.repeating(day.titles().durationMs(), day.titles().lengthsMs());
         this.network = network;
         this.cell = cell;
         this.condition = condition;
@@ -70,8 +70,8 @@
             return;
         }
         String range = exchange.head().headers().get("range");
-        boolean partial = ByteRange.understood(range);
-        ByteRange part = partial ? ByteRange.of(range, whole) : new ByteRange(0, whole - 1);
+        boolean partial = ByteRange.isSupported(range);
+        ByteRange part = partial ? ByteRange.resolve(range, whole) : new ByteRange(0, whole - 1);
         if (part == null) {
             exchange.respond(416, Headers.of("content-range", "bytes */" + whole), new byte[0]);
             return;
@@ -94,7 +94,7 @@
         if (!media.matches()) {
             return -1;
         }
-        long ms = timeline.lengthMs(Integer.parseInt(media.group(3)));
+        long ms = timeline.segmentLengthMs(Integer.parseInt(media.group(3)));
         boolean audio = media.group(1) != null;
         int rung = audio ? 0 : Integer.parseInt(media.group(2));
         if (ms == 0 || rung >= day.ladder().kb().size()) {
--- a/standin/src/main/java/spanrill/standin/box/PumpBox.java
+++ b/standin/src/main/java/spanrill/standin/box/PumpBox.java
@@ -37,10 +37,10 @@
 
     private void route(Exchange exchange) {
         String path = exchange.head().path();
-        if (path.equals(BoxLink.SETUP)) {
-            lastAttempt.put(front(exchange), exchange.head().headers().get(BoxLink.KEY));
+        if (path.equals(BoxLink.SETUP_PATH)) {
+            lastAttempt.put(front(exchange), exchange.head().headers().get(BoxLink.ATTEMPT_KEY));
             exchange.respond(200, Headers.of(BoxLink.LOAD, "inflight=1;x0=0.1;x1=0.1"), new byte[Media.INIT_BYTES]);
-        } else if (path.equals(BoxLink.NOTES)) {
+        } else if (path.equals(BoxLink.NOTES_PATH)) {
             exchange.start(200, new Headers(), -1);
             exchange.write(Unpooled.copiedBuffer("hello\t\t1\n", StandardCharsets.US_ASCII));
             tell(exchange, front(exchange));
@@ -61,13 +61,13 @@
                 .eventLoop()
                 .schedule(
                         () -> {
-                            if (notes.over()) {
+                            if (notes.isEnded()) {
                                 return;
                             }
                             String key = lastAttempt.get(front);
                             if (key != null) {
-                                String lines = new Note(Note.Kind.LINK, key, 0.1).line()
-                                        + new Note(Note.Kind.UPLINK, key, 0.1).line();
+                                String lines = new Note(Note.Kind.LINK, key, 0.1).format()
+                                        + new Note(Note.Kind.UPLINK, key, 0.1).format();
                                 notes.write(Unpooled.copiedBuffer(lines, StandardCharsets.US_ASCII));
                             }
                             tell(notes, front);
@@ -80,7 +80,7 @@
         exchange.start(200, Headers.of("content-type", "video/mp4"), bytes);
         long[] left = {bytes};
         Runnable more = () -> {
-            while (left[0] > 0 && exchange.writable() && !exchange.over()) {
+            while (left[0] > 0 && exchange.isWritable() && !exchange.isEnded()) {
                 int part = (int) Math.min(PART, left[0]);
                 exchange.write(Media.part("pump", bytes - left[0], part));
                 left[0] -= part;
--- a/standin/src/main/java/spanrill/standin/box/StandinBox.java
+++ b/standin/src/main/java/spanrill/standin/box/StandinBox.java
@@ -237,7 +237,7 @@
         if (condition.silentTo(from == null ? "" : from)) {
             // It stays unread: whoever gives up before it is read again was never heard.
             parked.add(() -> {
-                if (!exchange.over()) {
+                if (!exchange.isEnded()) {
                     route(exchange);
                 }
             });
@@ -245,12 +245,12 @@
         }
         String path = exchange.head().path();
         String method = exchange.head().method();
-        if (path.equals(BoxLink.SETUP) && method.equals("POST")) {
+        if (path.equals(BoxLink.SETUP_PATH) && method.equals("POST")) {
             setUp(exchange);
-        } else if (path.equals(BoxLink.NOTES)) {
+        } else if (path.equals(BoxLink.NOTES_PATH)) {
             notes.open(exchange, process);
-        } else if (path.startsWith(BoxLink.ATTEMPT)) {
-            attempt(exchange, method, path.substring(BoxLink.ATTEMPT.length()));
+        } else if (path.startsWith(BoxLink.ATTEMPT_PATH_PREFIX)) {
+            attempt(exchange, method, path.substring(BoxLink.ATTEMPT_PATH_PREFIX.length()));
         } else {
             exchange.respond(404, new Headers(), new byte[0]);
         }
@@ -258,7 +258,7 @@
 
     private void setUp(Exchange exchange) {
         Headers h = exchange.head().headers();
-        String key = h.get(BoxLink.KEY);
+        String key = h.get(BoxLink.ATTEMPT_KEY);
         Day.DayClass type = day.classes().get(String.valueOf(h.get(BoxLink.CLASS)));
         int front;
         int rung;
@@ -338,7 +338,7 @@
             return;
         }
         tap.put(new TapEvent.SetUpAnswer(now, session.key, 200, null));
-        Headers headers = Headers.of(BoxLink.LOAD, BoxLink.format(load()), "content-type", "video/mp4");
+        Headers headers = Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load()), "content-type", "video/mp4");
         exchange.start(200, headers, Media.INIT_BYTES);
         exchange.write(Media.part(session.title, 0, Media.INIT_BYTES));
         exchange.end();
@@ -347,7 +347,7 @@
 
     private void answer(Exchange exchange, String key, int status, String reason) {
         tap.put(new TapEvent.SetUpAnswer(tap.now(), key, status, reason));
-        Headers headers = Headers.of(BoxLink.LOAD, BoxLink.format(load()));
+        Headers headers = Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load()));
         if (reason != null) {
             headers.add(BoxLink.REASON, reason);
         }
@@ -370,10 +370,10 @@
                     204,
                     Headers.of(
                             BoxLink.LOAD,
-                            BoxLink.format(load()),
+                            BoxLink.formatLoad(load()),
                             BoxLink.RAN,
                             ran ? "1" : "0",
-                            BoxLink.UP_MS,
+                            BoxLink.UPTIME_MS,
                             Long.toString(System.currentTimeMillis() - process)),
                     new byte[0]);
             return;
@@ -386,7 +386,7 @@
             return;
         }
         if (name.equals("rung") && method.equals("POST")) {
-            String to = exchange.head().query("to");
+            String to = exchange.head().queryParameter("to");
             if (to == null
                     || !to.matches("\\d{1,3}")
                     || Integer.parseInt(to) >= day.ladder().kb().size()) {
@@ -395,7 +395,7 @@
             }
             shaper.rung(tap.now(), session, Integer.parseInt(to));
             tap.put(new TapEvent.Rung(tap.now(), key, session.rung));
-            exchange.respond(204, Headers.of(BoxLink.LOAD, BoxLink.format(load())), new byte[0]);
+            exchange.respond(204, Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load())), new byte[0]);
         } else {
             session.seenAt = tap.now();
             shaper.segment(exchange, session, name);
--- a/standin/src/main/java/spanrill/standin/box/Transfer.java
+++ b/standin/src/main/java/spanrill/standin/box/Transfer.java
@@ -27,10 +27,10 @@
 
     /** Writes what is due; true when it is done. */
     boolean advance() {
-        if (exchange.over()) {
+        if (exchange.isEnded()) {
             return true;
         }
-        while (left > 0 && session.bucket.whole() > 0 && exchange.writable()) {
+        while (left > 0 && session.bucket.whole() > 0 && exchange.isWritable()) {
             int bytes = (int) Math.min(Math.min(left, MOST_PART), session.bucket.whole());
             exchange.write(Media.part(segment, next, bytes));
             next += bytes;
--- a/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
+++ b/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
@@ -124,8 +124,8 @@
     }
 
     private void route(Exchange exchange) {
-        String front = exchange.head().query("front");
-        String version = exchange.head().query("version");
+        String front = exchange.head().queryParameter("front");
+        String version = exchange.head().queryParameter("version");
         if (!exchange.head().path().equals("/boxes")
                 || front == null
                 || !front.matches("\\d{1,6}")
@@ -140,11 +140,11 @@
             fresh.boxes.putAll(truth);
             return fresh;
         });
-        if (view.waiting != null && !view.waiting.over()) {
+        if (view.waiting != null && !view.waiting.isEnded()) {
             view.waiting.respond(204, new Headers(), new byte[0]);
         }
         cancel(view);
-        boolean known = Long.toString(epoch).equals(exchange.head().query("epoch"));
+        boolean known = Long.toString(epoch).equals(exchange.head().queryParameter("epoch"));
         view.waiting = exchange;
         view.waitingVersion = known ? Long.parseLong(version) : -1;
         if (view.waitingVersion < view.log.size()) {
@@ -179,7 +179,7 @@
         cancel(view);
         Exchange exchange = view.waiting;
         view.waiting = null;
-        if (exchange.over()) {
+        if (exchange.isEnded()) {
             return;
         }
         boolean whole = view.waitingVersion < 0 || view.waitingVersion > view.log.size();
--- a/standin/src/main/java/spanrill/standin/token/IssuerService.java
+++ b/standin/src/main/java/spanrill/standin/token/IssuerService.java
@@ -38,10 +38,10 @@
     }
 
     private void token(Exchange exchange) {
-        String title = exchange.head().query("title");
-        String cls = exchange.head().query("class");
-        String viewer = exchange.head().query("viewer");
-        String top = exchange.head().query("top");
+        String title = exchange.head().queryParameter("title");
+        String cls = exchange.head().queryParameter("class");
+        String viewer = exchange.head().queryParameter("viewer");
+        String top = exchange.head().queryParameter("top");
         if (title == null || cls == null || (top != null && !top.matches("\\d{1,3}"))) {
             exchange.respond(400, new Headers(), "text/plain", "title and class must be given, top a number\n");
             return;
--- a/standin/src/main/java/spanrill/standin/viewer/AnswerProbe.java
+++ b/standin/src/main/java/spanrill/standin/viewer/AnswerProbe.java
@@ -50,7 +50,7 @@
                 opened -> {
                     probe.connection = opened;
                     if (probe.over) {
-                        opened.abandon();
+                        opened.abort();
                         return;
                     }
                     ClientLink link = new ClientLink(false, () -> {}, (head, all) -> {
@@ -74,7 +74,7 @@
             over = true;
             patience.cancel(false);
             if (connection != null) {
-                connection.abandon();
+                connection.abort();
             }
             listener.came(what);
         }
--- a/standin/src/main/java/spanrill/standin/viewer/ClientLink.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ClientLink.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void head(ResponseHead answer) {
+    public void onHead(ResponseHead answer) {
         head = answer;
         if (!over) {
             onHead.run();
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void onData(ByteBuf part) {
         bytes += part.readableBytes();
         if (counter != null) {
             counter.add(part.readableBytes());
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         if (!over) {
             over = true;
             done.accept(head, this);
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void lost(HttpClientConnection.Loss loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure loss, String reason) {
         if (!over) {
             over = true;
             done.accept(null, this);
--- a/standin/src/main/java/spanrill/standin/viewer/Puller.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Puller.java
@@ -46,29 +46,29 @@
 
     private void next() {
         if (stopped || !connection.send("GET", target, Headers.of("host", "x"), new byte[0], this)) {
-            connection.abandon();
+            connection.abort();
         }
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         if (head.status() != 200) {
             fault.accept("answered " + head.status());
         }
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void onData(ByteBuf part) {
         bytes.add(part.readableBytes());
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         next();
     }
 
     @Override
-    public void lost(HttpClientConnection.Loss loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure loss, String reason) {
         if (!stopped) {
             fault.accept(loss + ": " + reason);
         }
--- a/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
+++ b/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import spanrill.wire.dash.MpdFault;
+import spanrill.wire.dash.InvalidMpdException;
 import spanrill.wire.dash.MpdParser;
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.HttpLimits;
@@ -28,14 +28,14 @@
                 HttpLimits.CLIENT,
                 connection -> {
                     ClientLink link = new ClientLink(true, () -> {}, (head, all) -> {
-                        connection.abandon();
+                        connection.abort();
                         if (head == null || head.status() != 200) {
                             not.accept(new IOException(head == null ? "connection lost" : "answered " + head.status()));
                             return;
                         }
                         try {
                             plays.accept(MpdParser.parse(all.text()).baseUrl());
-                        } catch (MpdFault fault) {
+                        } catch (InvalidMpdException fault) {
                             not.accept(fault);
                         }
                     });
--- a/standin/src/main/java/spanrill/standin/viewer/Viewer.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Viewer.java
@@ -14,8 +14,8 @@
 import spanrill.model.player.Player;
 import spanrill.model.player.Player.Next;
 import spanrill.model.player.Traits;
+import spanrill.wire.dash.InvalidMpdException;
 import spanrill.wire.dash.Mpd;
-import spanrill.wire.dash.MpdFault;
 import spanrill.wire.dash.MpdParser;
 import spanrill.wire.dash.MpdValidator;
 import spanrill.wire.http.Headers;
@@ -151,7 +151,7 @@
                                     if (waiting) {
                                         request(second, false);
                                     } else {
-                                        second.abandon();
+                                        second.abort();
                                     }
                                 },
                                 () -> {});
@@ -188,7 +188,7 @@
         stage.tap().put(new TapEvent.Ask(now(), number, front, tokenId, traits.cls(), title, traits.patienceMs()));
         stats.asks.increment();
         // A second answer comes when nothing is asked any more: the checker must see that too.
-        on.onUnasked(() -> stage.tap().put(new TapEvent.Answer(now(), number, 0, "unasked")));
+        on.onUnsolicitedData(() -> stage.tap().put(new TapEvent.Answer(now(), number, 0, "unasked")));
         double at = now();
         ClientLink[] link = new ClientLink[1];
         link[0] = new ClientLink(
@@ -203,7 +203,7 @@
                     }
                 });
         if (!ClientLink.get(on, "/dash/" + title + "/manifest.mpd?token=" + token, link[0])) {
-            link[0].lost(HttpClientConnection.Loss.CLOSED, "closed");
+            link[0].onFailure(HttpClientConnection.Failure.CLOSED, "closed");
         }
         return number;
     }
@@ -214,7 +214,7 @@
         } else {
             stats.count(answerOf(head));
         }
-        on.abandon();
+        on.abort();
     }
 
     private static String answerOf(ResponseHead head) {
@@ -226,7 +226,7 @@
         if (waiting) {
             waiting = false;
             stage.tap().put(new TapEvent.NoAnswer(now(), ask));
-            connection.abandon();
+            connection.abort();
             over("no answer");
         }
     }
@@ -236,7 +236,7 @@
             waiting = false;
             patience.cancel(false);
             stage.tap().put(new TapEvent.AskLost(now(), ask, true));
-            connection.abandon();
+            connection.abort();
             over("left");
         }
     }
@@ -265,11 +265,11 @@
                 }
             }
             case "refused" -> {
-                connection.abandon();
+                connection.abort();
                 follow(player.refused(now(), retryAfterMs(head)), "refused");
             }
             default -> {
-                connection.abandon();
+                connection.abort();
                 over(answer.equals("failed") ? "failed" : "not taken");
             }
         }
@@ -289,15 +289,15 @@
             if (!findings.isEmpty()) {
                 throw new IllegalStateException("a front's MPD is not as the standard has it: " + findings);
             }
-        } catch (MpdFault fault) {
+        } catch (InvalidMpdException fault) {
             throw new IllegalStateException("a front's MPD is malformed: " + fault.getMessage());
         }
         long audio =
                 mpd.audio() == null ? 0 : mpd.audio().representations().get(0).bandwidth();
-        List<Long> ladder = mpd.representations().stream()
+        List<Long> ladder = mpd.videoRepresentations().stream()
                 .map(each -> each.bandwidth() + audio)
                 .toList();
-        Next first = player.plays(now(), ladder, mpd.segmentMs(), mpd.segments());
+        Next first = player.plays(now(), ladder, mpd.nominalSegmentMs(), mpd.segmentCount());
         if (!ClientLink.get(connection, mpd.baseUrl() + "v/init.mp4", new ClientLink(false, () -> {}, (head, link) -> {
             if (head != null && head.status() == 200) {
                 follow(first, "watched");
@@ -311,17 +311,17 @@
 
     private void fetch(Next.Fetch fetch) {
         player.fetches(now());
-        Mpd.Representation rung = mpd.representations().get(fetch.rung());
+        Mpd.Representation rung = mpd.videoRepresentations().get(fetch.rung());
         ClientLink link = new ClientLink(false, () -> {}, (head, all) -> video(head, all, fetch.number()));
         link.count(received);
         fetching = true;
-        if (!ClientLink.get(connection, mpd.baseUrl() + mpd.video().path(rung, fetch.number()), link)) {
+        if (!ClientLink.get(connection, mpd.baseUrl() + mpd.video().segmentPath(rung, fetch.number()), link)) {
             fetching = false;
             broken(null);
             return;
         }
         if (traits.neverReads()) {
-            connection.reading(false);
+            connection.setAutoRead(false);
             return;
         }
         look(link);
@@ -339,7 +339,7 @@
             } else {
                 link.forget();
                 fetching = false;
-                connection.abandon();
+                connection.abort();
                 stats.gaveUp.increment();
                 tooSlow();
             }
@@ -359,7 +359,7 @@
                 (other, all) -> segment(
                         other == null || other.status() != 200 ? other : head, link.bytes() + all.bytes(), number));
         next.count(received);
-        String path = mpd.baseUrl() + audio.path(audio.representations().get(0), number);
+        String path = mpd.baseUrl() + audio.segmentPath(audio.representations().get(0), number);
         if (ClientLink.get(connection, path, next)) {
             look(next);
         } else {
@@ -386,7 +386,7 @@
                 player.segment(
                         now,
                         bytes * 8 / stage.day().byteScale(),
-                        mpd.video().timeline().lengthMs(number)),
+                        mpd.video().timeline().segmentLengthMs(number)),
                 "watched");
     }
 
@@ -398,8 +398,8 @@
                 target,
                 Headers.of("host", "front"),
                 new byte[0],
-                new ClientLink(false, () -> {}, (head, link) -> connection.abandon()))) {
-            connection.abandon();
+                new ClientLink(false, () -> {}, (head, link) -> connection.abort()))) {
+            connection.abort();
         }
         if (lostPatience) {
             tooSlow();
@@ -423,7 +423,7 @@
                         front,
                         head == null ? 0 : head.status(),
                         head == null ? null : head.headers().get("spanrill-over")));
-        connection.abandon();
+        connection.abort();
         follow(player.lost(now(), true), "broken");
     }
 }
--- a/standin/src/test/java/spanrill/standin/PlantedFaultsTest.java
+++ b/standin/src/test/java/spanrill/standin/PlantedFaultsTest.java
@@ -31,7 +31,7 @@
     }
 
     private int release(int box, String key) throws Exception {
-        return front.call(box, "DELETE", BoxLink.ATTEMPT + key, Headers.of("host", "box"));
+        return front.call(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, Headers.of("host", "box"));
     }
 
     @Test
@@ -120,7 +120,8 @@
         long ask = front.ask("t", "paid");
         assertEquals(200, front.setUp(0, "t", 1, "paid", 1));
         front.answer(ask, "plays");
-        assertEquals(204, front.call(0, "POST", BoxLink.ATTEMPT + "t.1/rung?to=0", Headers.of("host", "box")));
+        assertEquals(
+                204, front.call(0, "POST", BoxLink.ATTEMPT_PATH_PREFIX + "t.1/rung?to=0", Headers.of("host", "box")));
         assertEquals(List.of(5), front.broken());
     }
 
--- a/standin/src/test/java/spanrill/standin/RogueFront.java
+++ b/standin/src/test/java/spanrill/standin/RogueFront.java
@@ -102,7 +102,7 @@
                 "0",
                 BoxLink.ZONE,
                 "a",
-                BoxLink.KEY,
+                BoxLink.ATTEMPT_KEY,
                 token + "." + attempt,
                 BoxLink.TOKEN,
                 token,
@@ -114,7 +114,7 @@
                 Integer.toString(rung),
                 BoxLink.SPENDS,
                 cls.equals("paid") ? "1" : "0");
-        return call(box, "POST", BoxLink.SETUP, headers);
+        return call(box, "POST", BoxLink.SETUP_PATH, headers);
     }
 
     int call(int box, String method, String target, Headers headers) throws Exception {
@@ -130,21 +130,21 @@
                             private int status;
 
                             @Override
-                            public void head(ResponseHead head) {
+                            public void onHead(ResponseHead head) {
                                 status = head.status();
                             }
 
                             @Override
-                            public void data(ByteBuf part) {}
+                            public void onData(ByteBuf part) {}
 
                             @Override
-                            public void end() {
-                                connection.abandon();
+                            public void onEnd() {
+                                connection.abort();
                                 done.complete(status);
                             }
 
                             @Override
-                            public void lost(HttpClientConnection.Loss loss, String reason) {
+                            public void onFailure(HttpClientConnection.Failure loss, String reason) {
                                 done.complete(0);
                             }
                         }),
--- a/standin/src/test/java/spanrill/standin/SharedLinkTest.java
+++ b/standin/src/test/java/spanrill/standin/SharedLinkTest.java
@@ -42,27 +42,27 @@
             number++;
             connection.send(
                     "GET",
-                    BoxLink.ATTEMPT + key + "/2/" + number + ".m4s",
+                    BoxLink.ATTEMPT_PATH_PREFIX + key + "/2/" + number + ".m4s",
                     Headers.of("host", "box", BoxLink.ZONE, "a"),
                     new byte[0],
                     this);
         }
 
         @Override
-        public void head(ResponseHead head) {}
+        public void onHead(ResponseHead head) {}
 
         @Override
-        public void data(ByteBuf part) {
+        public void onData(ByteBuf part) {
             bytes.add(part.readableBytes());
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             next();
         }
 
         @Override
-        public void lost(HttpClientConnection.Loss loss, String reason) {}
+        public void onFailure(HttpClientConnection.Failure loss, String reason) {}
     }
 
     @Test
--- a/wire/src/main/java/spanrill/wire/Listening.java
+++ b/wire/src/main/java/spanrill/wire/TcpListener.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /** Listens on TCP. */
-public final class Listening {
-    private Listening() {}
+public final class TcpListener {
+    private TcpListener() {}
 
     /**
      * Listens; the connections are served on the group's loops.
--- a/wire/src/main/java/spanrill/wire/box/BoxLink.java
+++ b/wire/src/main/java/spanrill/wire/box/BoxLink.java
@@ -11,17 +11,17 @@
  */
 public final class BoxLink {
     /** Path of a set-up. */
-    public static final String SETUP = "/setup";
+    public static final String SETUP_PATH = "/setup";
     /** Path of the notes. */
-    public static final String NOTES = "/notes";
+    public static final String NOTES_PATH = "/notes";
     /** Prefix of an attempt's paths. */
-    public static final String ATTEMPT = "/attempt/";
+    public static final String ATTEMPT_PATH_PREFIX = "/attempt/";
     /** Number of the front that asks. */
     public static final String FRONT = "spanrill-front";
     /** Zone of the front that asks. */
     public static final String ZONE = "spanrill-zone";
     /** Key of the attempt: never used again. */
-    public static final String KEY = "spanrill-attempt";
+    public static final String ATTEMPT_KEY = "spanrill-attempt";
     /** What the session is known by to its issuer: the token's id. */
     public static final String TOKEN = "spanrill-token";
     /** Class of session. */
@@ -42,19 +42,19 @@
      */
     public static final String RAN = "spanrill-ran";
     /** In the answer to a call-off: how long the box's process has been up, ms. */
-    public static final String UP_MS = "spanrill-up-ms";
+    public static final String UPTIME_MS = "spanrill-up-ms";
     /** Load report in answers. */
     public static final String LOAD = "spanrill-load";
 
     private BoxLink() {}
 
     /** Writes a load report. */
-    public static String format(Load load) {
+    public static String formatLoad(Load load) {
         return String.format(Locale.ROOT, "inflight=%.0f;x0=%.4f;x1=%.4f", load.inflight(), load.link(), load.uplink());
     }
 
     /** Reads a load report; null when there is none or it is ill-formed. */
-    public static Load load(String text) {
+    public static Load parseLoad(String text) {
         if (text == null || text.length() > 200) {
             return null;
         }
@@ -66,14 +66,14 @@
                     : java.util.List.of("inflight", "x0", "x1")
                             .indexOf(part.substring(0, at).trim());
             if (index >= 0) {
-                values[index] = number(part.substring(at + 1).trim());
+                values[index] = parseNonNegative(part.substring(at + 1).trim());
             }
         }
         return new Load(values[0], values[1], values[2]);
     }
 
     /** A finite number from 0, or NaN. */
-    public static double number(String text) {
+    public static double parseNonNegative(String text) {
         try {
             double value = Double.parseDouble(text);
             return Double.isFinite(value) && value >= 0 && value < 1e9 ? value : Double.NaN;
--- a/wire/src/main/java/spanrill/wire/box/Note.java
+++ b/wire/src/main/java/spanrill/wire/box/Note.java
@@ -25,7 +25,7 @@
     }
 
     /** The line, with its LF. */
-    public String line() {
+    public String format() {
         return kind.name().toLowerCase(Locale.ROOT) + "\t" + attempt + "\t"
                 + String.format(Locale.ROOT, kind == Kind.HELLO ? "%.0f" : "%.4f", value) + "\n";
     }
--- a/wire/src/main/java/spanrill/wire/dash/Cmcd.java
+++ b/wire/src/main/java/spanrill/wire/dash/Cmcd.java
@@ -81,7 +81,7 @@
     }
 
     /** Decodes a query parameter; null when it is ill-formed. */
-    public static String decode(String raw) {
+    public static String decodeQueryParameter(String raw) {
         try {
             return raw == null ? null : URLDecoder.decode(raw, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
--- a/wire/src/main/java/spanrill/wire/dash/Mpd.java
+++ b/wire/src/main/java/spanrill/wire/dash/Mpd.java
@@ -11,13 +11,13 @@
  * @param minBufferMs what a player should hold before it plays
  * @param location where this MPD is to be fetched anew, or null (5.15)
  * @param baseUrl prefix of the segments (5.6), or null
- * @param rungInForce the highest rung served now; told by a SupplementalProperty of the scheme {@link #RUNG}
+ * @param rungInForce the highest rung served now; told by a SupplementalProperty of the scheme {@link #RUNG_SCHEME}
  * @param sets video first
  */
 public record Mpd(
         long durationMs, long minBufferMs, String location, String baseUrl, int rungInForce, List<AdaptationSet> sets) {
     /** Scheme of the property that tells the rung in force. */
-    public static final String RUNG = "urn:spanrill:rung-in-force:2026";
+    public static final String RUNG_SCHEME = "urn:spanrill:rung-in-force:2026";
 
     /** What a set is of. */
     public enum Content {
@@ -33,7 +33,7 @@
         }
 
         /** Value of AdaptationSet@contentType. */
-        public String word() {
+        public String value() {
             return word;
         }
     }
@@ -56,7 +56,7 @@
             String media,
             List<Representation> representations) {
         /** Path of a segment by its number, from 1. */
-        public String path(Representation of, int number) {
+        public String segmentPath(Representation of, int number) {
             return media.replace("$RepresentationID$", of.id()).replace("$Number$", Integer.toString(number));
         }
     }
@@ -85,17 +85,17 @@
     }
 
     /** Video's Representations, in rising order. */
-    public List<Representation> representations() {
+    public List<Representation> videoRepresentations() {
         return video().representations();
     }
 
     /** Segments of the presentation. */
-    public int segments() {
-        return video().timeline().segments();
+    public int segmentCount() {
+        return video().timeline().segmentCount();
     }
 
     /** The length that most of its segments have. */
-    public long segmentMs() {
+    public long nominalSegmentMs() {
         return video().timeline().runs().get(0).lengthMs();
     }
 }
--- a/wire/src/main/java/spanrill/wire/dash/MpdParser.java
+++ b/wire/src/main/java/spanrill/wire/dash/MpdParser.java
@@ -72,19 +72,19 @@
     }
 
     /** Reads a document. */
-    public static Mpd parse(String text) throws MpdFault {
+    public static Mpd parse(String text) throws InvalidMpdException {
         if (text.length() > MOST_CHARS) {
-            throw new MpdFault(0, "longer than " + MOST_CHARS + " characters");
+            throw new InvalidMpdException(0, "longer than " + MOST_CHARS + " characters");
         }
         try {
             return new MpdParser(reader(text)).document();
         } catch (XMLStreamException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNumber();
-            throw new MpdFault(line, "is no well-formed XML");
+            throw new InvalidMpdException(line, "is no well-formed XML");
         }
     }
 
-    private Mpd document() throws XMLStreamException, MpdFault {
+    private Mpd document() throws XMLStreamException, InvalidMpdException {
         int depth = 0;
         while (xml.hasNext()) {
             int event = xml.next();
@@ -111,7 +111,7 @@
     }
 
     /** Takes an element; true when its end was read too. */
-    private boolean element(String name) throws XMLStreamException, MpdFault {
+    private boolean element(String name) throws XMLStreamException, InvalidMpdException {
         switch (name) {
             case "MPD" -> {
                 if (!"static".equals(text("type", "static"))) {
@@ -130,7 +130,7 @@
             }
             case "AdaptationSet" -> begin();
             case "SupplementalProperty" -> {
-                if (Mpd.RUNG.equals(text("schemeIdUri", ""))) {
+                if (Mpd.RUNG_SCHEME.equals(text("schemeIdUri", ""))) {
                     rung = (int) number("value", 0, 1000);
                 }
             }
@@ -148,21 +148,21 @@
         return false;
     }
 
-    private SetSoFar within() throws MpdFault {
+    private SetSoFar within() throws InvalidMpdException {
         if (set == null) {
             throw fault(xml.getLocalName() + " must stand in an AdaptationSet");
         }
         return set;
     }
 
-    private void begin() throws MpdFault {
+    private void begin() throws InvalidMpdException {
         if (sets.size() >= MOST_SETS) {
             throw fault("more than " + MOST_SETS + " AdaptationSets");
         }
         set = new SetSoFar();
         String content = text("contentType", text("mimeType", "").replaceAll("/.*", ""));
         for (Mpd.Content each : Mpd.Content.values()) {
-            set.content = each.word().equals(content) ? each : set.content;
+            set.content = each.value().equals(content) ? each : set.content;
         }
         if (set.content == null) {
             throw fault("AdaptationSet@contentType must be video or audio");
@@ -171,7 +171,7 @@
         sets.add(set);
     }
 
-    private void template() throws MpdFault {
+    private void template() throws InvalidMpdException {
         if (within().media != null) {
             throw fault("a second SegmentTemplate");
         }
@@ -189,12 +189,12 @@
         }
     }
 
-    private void run() throws MpdFault {
+    private void run() throws InvalidMpdException {
         if (within().runs == null) {
             throw fault("S must stand in a SegmentTimeline");
         }
-        if (set.runs.size() >= Timeline.MOST_RUNS) {
-            throw fault("more than " + Timeline.MOST_RUNS + " runs of segments");
+        if (set.runs.size() >= Timeline.MAX_RUNS) {
+            throw fault("more than " + Timeline.MAX_RUNS + " runs of segments");
         }
         if (xml.getAttributeValue(null, "t") != null
                 && number("t", 0, LONGEST_MS) * 1000 / set.timescale != set.sumMs) {
@@ -213,7 +213,7 @@
         set.runs.add(new Timeline.Run((int) count, length));
     }
 
-    private void representation() throws MpdFault {
+    private void representation() throws InvalidMpdException {
         if (within().representations.size() >= MOST_REPRESENTATIONS) {
             throw fault("more than " + MOST_REPRESENTATIONS + " Representations");
         }
@@ -227,9 +227,9 @@
         set.representations.add(new Mpd.Representation(id, number("bandwidth", 1, 1L << 40), text("codecs", "")));
     }
 
-    private Mpd checked() throws MpdFault {
+    private Mpd checked() throws InvalidMpdException {
         if (duration < 0 || minBuffer < 0) {
-            throw new MpdFault(0, "MPD@mediaPresentationDuration and @minBufferTime must be given");
+            throw new InvalidMpdException(0, "MPD@mediaPresentationDuration and @minBufferTime must be given");
         }
         List<Mpd.AdaptationSet> read = new ArrayList<>();
         for (SetSoFar each : sets) {
@@ -237,9 +237,9 @@
         }
         Mpd mpd = new Mpd(duration, minBuffer, location, base, rung, List.copyOf(read));
         if (mpd.video() == null) {
-            throw new MpdFault(0, "there is no AdaptationSet of video");
+            throw new InvalidMpdException(0, "there is no AdaptationSet of video");
         }
-        List<Mpd.Representation> video = mpd.representations();
+        List<Mpd.Representation> video = mpd.videoRepresentations();
         return rung >= 0
                 ? mpd
                 : new Mpd(
@@ -251,30 +251,30 @@
                         mpd.sets());
     }
 
-    private Mpd.AdaptationSet checked(SetSoFar each) throws MpdFault {
+    private Mpd.AdaptationSet checked(SetSoFar each) throws InvalidMpdException {
         if (each.media == null || (each.segment <= 0 && each.runs == null)) {
-            throw new MpdFault(0, "there is no SegmentTemplate with a duration or a SegmentTimeline");
+            throw new InvalidMpdException(0, "there is no SegmentTemplate with a duration or a SegmentTimeline");
         }
         if (each.representations.isEmpty()) {
-            throw new MpdFault(0, "there is no Representation");
+            throw new InvalidMpdException(0, "there is no Representation");
         }
         if (each.representations.size() > 1 && !each.media.contains("$RepresentationID$")) {
-            throw new MpdFault(0, "SegmentTemplate@media must have $RepresentationID$");
+            throw new InvalidMpdException(0, "SegmentTemplate@media must have $RepresentationID$");
         }
         for (int i = 1; i < each.representations.size(); i++) {
             if (each.representations.get(i).bandwidth()
                     <= each.representations.get(i - 1).bandwidth()) {
-                throw new MpdFault(0, "Representations must rise in bandwidth");
+                throw new InvalidMpdException(0, "Representations must rise in bandwidth");
             }
         }
         if (each.runs != null && each.runs.isEmpty()) {
-            throw new MpdFault(0, "a SegmentTimeline without segments");
+            throw new InvalidMpdException(0, "a SegmentTimeline without segments");
         }
         if (each.runs == null && duration / each.segment > MOST_SEGMENTS) {
-            throw new MpdFault(0, "more segments than a presentation has");
+            throw new InvalidMpdException(0, "more segments than a presentation has");
         }
         Timeline timeline =
-                each.runs == null ? Timeline.even(Math.max(1, duration), each.segment) : new Timeline(each.runs);
+                each.runs == null ? Timeline.uniform(Math.max(1, duration), each.segment) : new Timeline(each.runs);
         return new Mpd.AdaptationSet(
                 each.content, each.lang, timeline, each.initialization, each.media, List.copyOf(each.representations));
     }
@@ -284,7 +284,7 @@
         return value == null ? fallback : value;
     }
 
-    private long number(String name, long least, long most) throws MpdFault {
+    private long number(String name, long least, long most) throws InvalidMpdException {
         String value = xml.getAttributeValue(null, name);
         if (value == null || !value.matches("\\d{1,18}")) {
             throw fault(xml.getLocalName() + "@" + name + " must be a whole number");
@@ -296,7 +296,7 @@
         return number;
     }
 
-    private long period(String name) throws MpdFault {
+    private long period(String name) throws InvalidMpdException {
         try {
             Duration parsed = Duration.parse(text(name, ""));
             if (parsed.isNegative() || parsed.getSeconds() > LONGEST_MS / 1000) {
@@ -308,7 +308,7 @@
         }
     }
 
-    private MpdFault fault(String reason) {
-        return new MpdFault(xml.getLocation().getLineNumber(), reason);
+    private InvalidMpdException fault(String reason) {
+        return new InvalidMpdException(xml.getLocation().getLineNumber(), reason);
     }
 }
--- a/wire/src/main/java/spanrill/wire/dash/MpdWriter.java
+++ b/wire/src/main/java/spanrill/wire/dash/MpdWriter.java
@@ -55,9 +55,9 @@
                 "id",
                 Integer.toString(id),
                 "contentType",
-                set.content().word(),
+                set.content().value(),
                 "mimeType",
-                set.content().word() + "/mp4",
+                set.content().value() + "/mp4",
                 "segmentAlignment",
                 "true",
                 "startWithSAP",
@@ -68,7 +68,7 @@
         if (video) {
             attributes(xml, "bitstreamSwitching", "true");
             xml.writeEmptyElement("SupplementalProperty");
-            attributes(xml, "schemeIdUri", Mpd.RUNG, "value", Integer.toString(mpd.rungInForce()));
+            attributes(xml, "schemeIdUri", Mpd.RUNG_SCHEME, "value", Integer.toString(mpd.rungInForce()));
         }
         segments(xml, set);
         for (Mpd.Representation each : set.representations()) {
@@ -80,7 +80,7 @@
 
     private static void segments(XMLStreamWriter xml, Mpd.AdaptationSet set) throws XMLStreamException {
         Timeline timeline = set.timeline();
-        if (timeline.isEven()) {
+        if (timeline.isUniform()) {
             xml.writeEmptyElement("SegmentTemplate");
             attributes(
                     xml,
--- a/wire/src/main/java/spanrill/wire/dash/Timeline.java
+++ b/wire/src/main/java/spanrill/wire/dash/Timeline.java
@@ -11,7 +11,7 @@
  */
 public record Timeline(List<Run> runs) {
     /** Runs that are written or read at most. */
-    public static final int MOST_RUNS = 20_000;
+    public static final int MAX_RUNS = 20_000;
 
     /**
      * Segments of one length.
@@ -46,12 +46,12 @@
     }
 
     /** Segments of one length, the last one cut off at the end of the presentation. */
-    public static Timeline even(long durationMs, long segmentMs) {
-        return of(durationMs, List.of(segmentMs));
+    public static Timeline uniform(long durationMs, long segmentMs) {
+        return repeating(durationMs, List.of(segmentMs));
     }
 
     /** Segments whose lengths repeat a pattern, the last one cut off at the end of the presentation. */
-    public static Timeline of(long durationMs, List<Long> patternMs) {
+    public static Timeline repeating(long durationMs, List<Long> patternMs) {
         if (durationMs < 1 || patternMs.isEmpty()) {
             throw new IllegalArgumentException("a presentation has a length, and so have its segments");
         }
@@ -76,7 +76,7 @@
     }
 
     /** True when all segments but the last have one length, and the last is not longer. */
-    public boolean isEven() {
+    public boolean isUniform() {
         return runs.size() == 1
                 || (runs.size() == 2
                         && runs.get(1).count() == 1
@@ -84,7 +84,7 @@
     }
 
     /** Segments. */
-    public int segments() {
+    public int segmentCount() {
         return runs.stream().mapToInt(Run::count).sum();
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Length of a segment by its number, from 1; 0 when there is none of that number. */
-    public long lengthMs(int number) {
+    public long segmentLengthMs(int number) {
         int left = number;
         for (Run run : runs) {
             if (left >= 1 && left <= run.count()) {
--- a/wire/src/main/java/spanrill/wire/http/ByteRange.java
+++ b/wire/src/main/java/spanrill/wire/http/ByteRange.java
@@ -13,7 +13,7 @@
     }
 
     /** True when the text is a range that this program serves: one range, in bytes. */
-    public static boolean understood(String text) {
+    public static boolean isSupported(String text) {
         return text != null && text.matches("bytes=(\\d{1,15}-\\d{0,15}|-\\d{1,15})");
     }
 
@@ -22,7 +22,7 @@
      *
      * @return null when it can't be satisfied (416)
      */
-    public static ByteRange of(String text, long length) {
+    public static ByteRange resolve(String text, long length) {
         String[] ends = text.substring("bytes=".length()).split("-", -1);
         if (ends[0].isEmpty()) {
             long suffix = Math.min(length, Long.parseLong(ends[1]));
--- a/wire/src/main/java/spanrill/wire/http/EventStream.java
+++ b/wire/src/main/java/spanrill/wire/http/EventStreamParser.java
@@ -8,7 +8,7 @@
  * Reads server-sent events (WHATWG HTML, section 9.2.6) from the pieces of a body. An event that is cut off
  * before its blank line is never told. Lines and data are bounded.
  */
-public final class EventStream {
+public final class EventStreamParser {
     /** Takes events. */
     public interface Sink {
         /**
@@ -17,7 +17,7 @@
          * @param id its {@code id}, or null
          * @param data its {@code data}, lines joined by newlines
          */
-        void event(String id, String data);
+        void onEvent(String id, String data);
     }
 
     private final int most;
@@ -29,7 +29,7 @@
     private StringBuilder data;
 
     /** A line, and the data of one event, may have so many bytes. */
-    public EventStream(int most, Sink sink) {
+    public EventStreamParser(int most, Sink sink) {
         this.most = most;
         this.sink = sink;
     }
@@ -37,9 +37,9 @@
     /**
      * Reads a piece.
      *
-     * @throws HttpFault when a line or an event is too long
+     * @throws HttpProtocolException when a line or an event is too long
      */
-    public void feed(ByteBuf part) throws HttpFault {
+    public void feed(ByteBuf part) throws HttpProtocolException {
         while (part.isReadable()) {
             byte next = part.readByte();
             if (next == '\n' && afterReturn) {
@@ -53,7 +53,7 @@
                 continue;
             }
             if (length >= most) {
-                throw new HttpFault(400, "a line of an event stream is too long");
+                throw new HttpProtocolException(400, "a line of an event stream is too long");
             }
             if (length == line.length) {
                 line = Arrays.copyOf(line, 2 * length);
@@ -62,14 +62,14 @@
         }
     }
 
-    private void line() throws HttpFault {
+    private void line() throws HttpProtocolException {
         if (length == 0) {
             if (data != null) {
                 String told = data.toString();
                 String number = id;
                 data = null;
                 id = null;
-                sink.event(number, told);
+                sink.onEvent(number, told);
             }
             id = null;
             return;
@@ -90,7 +90,7 @@
             } else if (data.length() + value.length() < most) {
                 data.append('\n').append(value);
             } else {
-                throw new HttpFault(400, "an event is too long");
+                throw new HttpProtocolException(400, "an event is too long");
             }
         }
     }
--- a/wire/src/main/java/spanrill/wire/http/Exchange.java
+++ b/wire/src/main/java/spanrill/wire/http/Exchange.java
@@ -46,11 +46,11 @@
     }
 
     /** These fields go out with the answer too, whatever it is. */
-    public void also(Headers headers) {
+    public void setExtraHeaders(Headers headers) {
         also = headers;
     }
 
-    /** Called when the connection takes more after {@link #writable} was false. */
+    /** Called when the connection takes more after {@link #isWritable} was false. */
     public void onWritable(Runnable action) {
         onWritable = action;
     }
@@ -61,30 +61,30 @@
     }
 
     /** Called once when the connection is lost before the end, unless {@link #onClosed} was set already. */
-    public void onGone(Runnable action) {
+    public void onClosedIfUnset(Runnable action) {
         if (onClosed == null) {
             onClosed = action;
         }
     }
 
     /** False when the connection holds as much as it may: write no more until {@link #onWritable}. */
-    public boolean writable() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
     /** True when the answer is complete or the connection lost. */
-    public boolean over() {
+    public boolean isEnded() {
         return ended || !channel.isActive();
     }
 
     /** True once a head was written. */
-    public boolean started() {
+    public boolean isStarted() {
         return started;
     }
 
     /** Answers whole. */
     public void respond(int status, Headers headers, byte[] content) {
-        if (over() || started) {
+        if (isEnded() || started) {
             return;
         }
         start(status, headers, content.length);
@@ -101,7 +101,7 @@
 
     /** Begins an answer of so many bytes; -1: as many as come, in chunks. */
     public void start(int status, Headers headers, long length) {
-        if (over() || started) {
+        if (isEnded() || started) {
             return;
         }
         started = true;
@@ -124,14 +124,14 @@
             headers.add("connection", "close");
         }
         ByteBuf out = channel.alloc().buffer(256);
-        HttpWriter.response(out, status, headers);
+        HttpWriter.writeResponseHead(out, status, headers);
         channel.write(out);
     }
 
     /** Writes part of the body and takes the buffer over. */
     public void write(ByteBuf part) {
         int bytes = part.readableBytes();
-        if (over() || bytes == 0 || head.method().equals("HEAD")) {
+        if (isEnded() || bytes == 0 || head.method().equals("HEAD")) {
             part.release();
             left -= bytes;
             return;
@@ -143,11 +143,11 @@
         left -= bytes;
         if (chunked) {
             ByteBuf size = channel.alloc().buffer(16);
-            HttpWriter.chunkStart(size, bytes);
+            HttpWriter.writeChunkSize(size, bytes);
             channel.write(size);
             channel.write(part);
             ByteBuf close = channel.alloc().buffer(2);
-            HttpWriter.chunkEnd(close);
+            HttpWriter.writeChunkEnd(close);
             channel.writeAndFlush(close);
         } else {
             channel.writeAndFlush(part);
@@ -165,7 +165,7 @@
         }
         if (chunked && !head.method().equals("HEAD")) {
             ByteBuf last = channel.alloc().buffer(8);
-            HttpWriter.lastChunk(last);
+            HttpWriter.writeLastChunk(last);
             channel.write(last);
         } else if (!chunked
                 && left > 0
--- a/wire/src/main/java/spanrill/wire/http/Headers.java
+++ b/wire/src/main/java/spanrill/wire/http/Headers.java
@@ -45,7 +45,7 @@
     }
 
     /** True when a field of that name lists the token (RFC 9110 section 5.6.1), without case. */
-    public boolean lists(String name, String token) {
+    public boolean containsToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
                 for (String item : values.get(i).split(",")) {
--- a/wire/src/main/java/spanrill/wire/http/HttpClientConnection.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpClientConnection.java
@@ -19,7 +19,7 @@
  */
 public final class HttpClientConnection extends ChannelInboundHandlerAdapter implements HttpParser.Sink {
     /** How an exchange was lost. */
-    public enum Loss {
+    public enum Failure {
         RESET,
         CLOSED,
         MALFORMED
@@ -28,16 +28,16 @@
     /** Takes the answer to one request. */
     public interface Listener {
         /** The answer's head. */
-        void head(ResponseHead head);
+        void onHead(ResponseHead head);
 
         /** Part of its body; lent for the call. */
-        default void data(ByteBuf part) {}
+        default void onData(ByteBuf part) {}
 
         /** It is complete. */
-        void end();
+        void onEnd();
 
         /** It was lost; nothing more comes. */
-        void lost(Loss loss, String reason);
+        void onFailure(Failure loss, String reason);
     }
 
     private final HttpParser parser;
@@ -83,7 +83,7 @@
     }
 
     /** Called when bytes come that no request asked for; the connection ends then. */
-    public void onUnasked(Runnable action) {
+    public void onUnsolicitedData(Runnable action) {
         onUnasked = action;
     }
 
@@ -93,12 +93,12 @@
     }
 
     /** True when it may take a request. */
-    public boolean free() {
+    public boolean isAvailable() {
         return listener == null && reusable && channel.isActive();
     }
 
     /** True while the connection stands. */
-    public boolean active() {
+    public boolean isActive() {
         return channel.isActive();
     }
 
@@ -109,28 +109,28 @@
      *     never saw it; the listener is not called then
      */
     public boolean send(String method, String target, Headers headers, byte[] content, Listener answer) {
-        if (!free()) {
+        if (!isAvailable()) {
             return false;
         }
         listener = answer;
-        parser.nextAnswersHead(method.equals("HEAD"));
+        parser.expectResponseToHead(method.equals("HEAD"));
         if (content.length > 0 || method.equals("POST") || method.equals("PUT")) {
             headers.add("content-length", Integer.toString(content.length));
         }
         ByteBuf out = channel.alloc().buffer(256 + content.length);
-        HttpWriter.request(out, method, target, headers);
+        HttpWriter.writeRequestHead(out, method, target, headers);
         out.writeBytes(content);
         channel.writeAndFlush(out);
         return true;
     }
 
     /** Reads on or holds back: what the peer sends waits in the socket's buffers meanwhile. */
-    public void reading(boolean on) {
+    public void setAutoRead(boolean on) {
         channel.config().setAutoRead(on);
     }
 
     /** Gives up whatever is under way, without a word to its listener. */
-    public void abandon() {
+    public void abort() {
         listener = null;
         reusable = false;
         channel.close();
@@ -152,8 +152,8 @@
                 }
                 parser.feed(in);
             }
-        } catch (HttpFault fault) {
-            lose(Loss.MALFORMED, fault.getMessage());
+        } catch (HttpProtocolException fault) {
+            lose(Failure.MALFORMED, fault.getMessage());
             channel.close();
         } finally {
             in.release();
@@ -161,20 +161,20 @@
     }
 
     @Override
-    public void response(ResponseHead head) {
+    public void onResponseHead(ResponseHead head) {
         reusable &= head.keepAlive();
-        listener.head(head);
+        listener.onHead(head);
     }
 
     @Override
-    public void body(ByteBuf part) {
+    public void onBody(ByteBuf part) {
         if (listener != null) {
-            listener.data(part);
+            listener.onData(part);
         }
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         Listener done = listener;
         listener = null;
         channel.config().setAutoRead(true);
@@ -182,34 +182,34 @@
             channel.close();
         }
         if (done != null) {
-            done.end();
+            done.onEnd();
         }
     }
 
-    private void lose(Loss loss, String reason) {
+    private void lose(Failure loss, String reason) {
         Listener lost = listener;
         listener = null;
         reusable = false;
         if (lost != null) {
-            lost.lost(loss, reason);
+            lost.onFailure(loss, reason);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         try {
-            parser.eof();
-        } catch (HttpFault fault) {
+            parser.endOfInput();
+        } catch (HttpProtocolException fault) {
             // Cut short: told below, as any loss.
             reusable = false;
         }
-        lose(Loss.CLOSED, "the peer closed the connection");
+        lose(Failure.CLOSED, "the peer closed the connection");
         onClosed.accept(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        lose(Loss.RESET, String.valueOf(cause.getMessage()));
+        lose(Failure.RESET, String.valueOf(cause.getMessage()));
         ctx.close();
     }
 }
--- a/wire/src/main/java/spanrill/wire/http/HttpParser.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpParser.java
@@ -19,16 +19,16 @@
     /** Takes what was parsed. */
     public interface Sink {
         /** A request's head. */
-        default void request(RequestHead head) throws HttpFault {}
+        default void onRequestHead(RequestHead head) throws HttpProtocolException {}
 
         /** A final response's head; interim ones (1xx) are passed over. */
-        default void response(ResponseHead head) throws HttpFault {}
+        default void onResponseHead(ResponseHead head) throws HttpProtocolException {}
 
         /** Part of a body; the buffer is lent for the call: retain what is kept. */
-        void body(ByteBuf part) throws HttpFault;
+        void onBody(ByteBuf part) throws HttpProtocolException;
 
         /** The message is complete. */
-        void end() throws HttpFault;
+        void onEnd() throws HttpProtocolException;
     }
 
     private enum State {
@@ -76,12 +76,12 @@
     }
 
     /** Tells that the next response answers a HEAD request, so no body follows it (section 6.3). */
-    public void nextAnswersHead(boolean head) {
+    public void expectResponseToHead(boolean head) {
         answersHead = head;
     }
 
     /** True between messages, when no byte of the next has come. */
-    public boolean idle() {
+    public boolean isIdle() {
         return state == State.START && lineLength == 0 && !sawCr && emptyLines == 0;
     }
 
@@ -89,9 +89,9 @@
      * Takes bytes up to the end of a message at most; call again for what is left.
      *
      * @return true when a message ended
-     * @throws HttpFault for what is refused; the parser takes nothing any more after it
+     * @throws HttpProtocolException for what is refused; the parser takes nothing any more after it
      */
-    public boolean feed(ByteBuf in) throws HttpFault {
+    public boolean feed(ByteBuf in) throws HttpProtocolException {
         try {
             while (in.isReadable()) {
                 switch (state) {
@@ -101,7 +101,7 @@
                         }
                     }
                     case UNTIL_CLOSE -> body(in, in.readableBytes());
-                    case BROKEN -> throw new HttpFault(400, "bytes after a broken message");
+                    case BROKEN -> throw new HttpProtocolException(400, "bytes after a broken message");
                     default -> {
                         if (readLine(in) && takeLine()) {
                             return true;
@@ -110,7 +110,7 @@
                 }
             }
             return false;
-        } catch (HttpFault fault) {
+        } catch (HttpProtocolException fault) {
             state = State.BROKEN;
             throw fault;
         }
@@ -120,22 +120,22 @@
      * The peer closed its side.
      *
      * @return true when that ended a message in order (a body without length, section 6.3)
-     * @throws HttpFault when it cut a message short
+     * @throws HttpProtocolException when it cut a message short
      */
-    public boolean eof() throws HttpFault {
+    public boolean endOfInput() throws HttpProtocolException {
         if (state == State.UNTIL_CLOSE) {
             state = State.BROKEN;
-            sink.end();
+            sink.onEnd();
             return true;
         }
-        if (state != State.BROKEN && !idle()) {
+        if (state != State.BROKEN && !isIdle()) {
             state = State.BROKEN;
-            throw new HttpFault(400, "the connection ended within a message");
+            throw new HttpProtocolException(400, "the connection ended within a message");
         }
         return false;
     }
 
-    private boolean data(ByteBuf in) throws HttpFault {
+    private boolean data(ByteBuf in) throws HttpProtocolException {
         int take = (int) Math.min(left, in.readableBytes());
         left -= take;
         body(in, take);
@@ -149,25 +149,25 @@
         return finish();
     }
 
-    private void body(ByteBuf in, int bytes) throws HttpFault {
+    private void body(ByteBuf in, int bytes) throws HttpProtocolException {
         bodyBytes += bytes;
         if (bodyBytes > limits.bodyBytes()) {
-            throw new HttpFault(413, "body is longer than " + limits.bodyBytes() + " bytes");
+            throw new HttpProtocolException(413, "body is longer than " + limits.bodyBytes() + " bytes");
         }
         if (bytes > 0) {
-            sink.body(in.readSlice(bytes));
+            sink.onBody(in.readSlice(bytes));
         }
     }
 
     /** Reads up to the end of a line; true when it is complete, without its CRLF. */
-    private boolean readLine(ByteBuf in) throws HttpFault {
+    private boolean readLine(ByteBuf in) throws HttpProtocolException {
         int from = in.readerIndex();
         int end = in.indexOf(from, in.writerIndex(), (byte) '\n');
         int stop = end < 0 ? in.writerIndex() : end;
         int bytes = stop - from;
         // The CR of a line's end may be the last byte kept, so it doesn't count towards the limit.
         if (lineLength + bytes > line.length) {
-            throw new HttpFault(
+            throw new HttpProtocolException(
                     state == State.START && role == Role.REQUEST ? 414 : 431,
                     "a line is longer than " + limits.lineBytes() + " bytes");
         }
@@ -175,7 +175,7 @@
         boolean begins = state == State.START && role == Role.REQUEST;
         for (int i = lineLength; i < lineLength + bytes; i++) {
             if (sawCr) {
-                throw new HttpFault(400, "a bare CR");
+                throw new HttpProtocolException(400, "a bare CR");
             }
             if (begins && i <= MOST_METHOD) {
                 inMethod = (i == 0 || inMethod) && line[i] != ' ';
@@ -191,7 +191,7 @@
         }
         in.skipBytes(1);
         if (!sawCr) {
-            throw new HttpFault(400, "a bare LF");
+            throw new HttpProtocolException(400, "a bare LF");
         }
         sawCr = false;
         lineLength--;
@@ -202,24 +202,24 @@
      * Refuses bytes that can't begin a request as soon as they come: whoever speaks another protocol here
      * must not wait in silence for a line end that it never sends.
      */
-    private void checkMethodByte(int at) throws HttpFault {
+    private void checkMethodByte(int at) throws HttpProtocolException {
         if (at == 0 && line[0] == TLS_HANDSHAKE) {
-            throw HttpFault.ofTlsHello();
+            throw HttpProtocolException.ofTlsHello();
         }
         if (line[at] != '\r' && !isToken((char) (line[at] & 0xff))) {
-            throw new HttpFault(400, "the method is no token");
+            throw new HttpProtocolException(400, "the method is no token");
         }
         if (line[at] != '\r' && at == MOST_METHOD) {
-            throw new HttpFault(501, "the method is not known");
+            throw new HttpProtocolException(501, "the method is not known");
         }
     }
 
-    private boolean takeLine() throws HttpFault {
+    private boolean takeLine() throws HttpProtocolException {
         int length = lineLength;
         lineLength = 0;
         headBytes += length + 2;
         if (headBytes > limits.headBytes() && state != State.CHUNK_SIZE && state != State.CHUNK_END) {
-            throw new HttpFault(431, "a head is longer than " + limits.headBytes() + " bytes");
+            throw new HttpProtocolException(431, "a head is longer than " + limits.headBytes() + " bytes");
         }
         switch (state) {
             case START -> start(length);
@@ -232,7 +232,7 @@
             case CHUNK_SIZE -> chunkSize(length);
             case CHUNK_END -> {
                 if (length != 0) {
-                    throw new HttpFault(400, "a chunk is longer than its size says");
+                    throw new HttpProtocolException(400, "a chunk is longer than its size says");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -241,7 +241,7 @@
                     return finish();
                 }
                 if (++trailers > limits.headers()) {
-                    throw new HttpFault(431, "more than " + limits.headers() + " trailer fields");
+                    throw new HttpProtocolException(431, "more than " + limits.headers() + " trailer fields");
                 }
                 field(length, new Headers());
             }
@@ -250,17 +250,17 @@
         return false;
     }
 
-    private void start(int length) throws HttpFault {
+    private void start(int length) throws HttpProtocolException {
         if (length == 0) {
             // Section 2.2: at least one empty line before a request line is passed over.
             if (role == Role.RESPONSE || ++emptyLines > 1) {
-                throw new HttpFault(400, "empty lines before a message");
+                throw new HttpProtocolException(400, "empty lines before a message");
             }
             return;
         }
         for (int i = 0; i < length; i++) {
             if (line[i] < ' ' || line[i] == 127) {
-                throw new HttpFault(400, "a byte that is no visible ASCII in the start line");
+                throw new HttpProtocolException(400, "a byte that is no visible ASCII in the start line");
             }
         }
         first = new String(line, 0, length, StandardCharsets.US_ASCII);
@@ -273,48 +273,48 @@
         state = State.HEADER;
     }
 
-    private void checkRequestLine() throws HttpFault {
+    private void checkRequestLine() throws HttpProtocolException {
         int a = first.indexOf(' ');
         int b = first.lastIndexOf(' ');
         if (a <= 0 || b <= a + 1 || first.indexOf(' ', a + 1) != b) {
-            throw new HttpFault(400, "the request line is not method, target and version");
+            throw new HttpProtocolException(400, "the request line is not method, target and version");
         }
         checkVersion(first.substring(b + 1));
         String target = first.substring(a + 1, b);
         if (!target.startsWith("/") && !target.equals("*") && !target.startsWith("http://")) {
-            throw new HttpFault(400, "the target is neither a path nor an http URI");
+            throw new HttpProtocolException(400, "the target is neither a path nor an http URI");
         }
     }
 
-    private void checkStatusLine() throws HttpFault {
+    private void checkStatusLine() throws HttpProtocolException {
         if (first.length() < 12 || first.charAt(8) != ' ' || (first.length() > 12 && first.charAt(12) != ' ')) {
-            throw new HttpFault(400, "the status line is not version, status and reason");
+            throw new HttpProtocolException(400, "the status line is not version, status and reason");
         }
         checkVersion(first.substring(0, 8));
         for (int i = 9; i < 12; i++) {
             if (first.charAt(i) < '0' || first.charAt(i) > '9') {
-                throw new HttpFault(400, "the status is no number");
+                throw new HttpProtocolException(400, "the status is no number");
             }
         }
         if (first.charAt(9) < '1' || first.charAt(9) > '5') {
-            throw new HttpFault(400, "the status is of no known class");
+            throw new HttpProtocolException(400, "the status is of no known class");
         }
     }
 
-    private static void checkVersion(String version) throws HttpFault {
+    private static void checkVersion(String version) throws HttpProtocolException {
         if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
-            throw new HttpFault(version.startsWith("HTTP/") ? 505 : 400, "the version is not HTTP/1.1");
+            throw new HttpProtocolException(version.startsWith("HTTP/") ? 505 : 400, "the version is not HTTP/1.1");
         }
     }
 
-    private void field(int length, Headers into) throws HttpFault {
+    private void field(int length, Headers into) throws HttpProtocolException {
         if (line[0] == ' ' || line[0] == '\t') {
-            throw new HttpFault(400, "a folded header line");
+            throw new HttpProtocolException(400, "a folded header line");
         }
         int colon = 0;
         while (colon < length && line[colon] != ':') {
             if (!isToken((char) (line[colon] & 0xff))) {
-                throw new HttpFault(
+                throw new HttpProtocolException(
                         400,
                         line[colon] == ' ' || line[colon] == '\t'
                                 ? "space before the colon of a header"
@@ -323,7 +323,7 @@
             colon++;
         }
         if (colon == 0 || colon == length) {
-            throw new HttpFault(400, "a header line without name or colon");
+            throw new HttpProtocolException(400, "a header line without name or colon");
         }
         int from = colon + 1;
         int to = length;
@@ -335,18 +335,18 @@
         }
         for (int i = from; i < to; i++) {
             if ((line[i] >= 0 && line[i] < ' ' && line[i] != '\t') || line[i] == 127) {
-                throw new HttpFault(400, "a control byte in a header value");
+                throw new HttpProtocolException(400, "a control byte in a header value");
             }
         }
         if (into.size() >= limits.headers()) {
-            throw new HttpFault(431, "more than " + limits.headers() + " header fields");
+            throw new HttpProtocolException(431, "more than " + limits.headers() + " header fields");
         }
         into.add(
                 new String(line, 0, colon, StandardCharsets.US_ASCII),
                 new String(line, from, to - from, StandardCharsets.ISO_8859_1));
     }
 
-    private boolean headComplete() throws HttpFault {
+    private boolean headComplete() throws HttpProtocolException {
         long length = checkFraming();
         boolean chunked = headers.count("transfer-encoding") > 0;
         bodyBytes = 0;
@@ -357,9 +357,9 @@
             int minor = first.charAt(first.length() - 1) - '0';
             int hosts = headers.count("host");
             if (hosts > 1 || (hosts == 0 && minor == 1)) {
-                throw new HttpFault(400, "Host must be given once");
+                throw new HttpProtocolException(400, "Host must be given once");
             }
-            sink.request(new RequestHead(first.substring(0, a), first.substring(a + 1, b), minor, headers));
+            sink.onRequestHead(new RequestHead(first.substring(0, a), first.substring(a + 1, b), minor, headers));
             if (chunked) {
                 state = State.CHUNK_SIZE;
                 return false;
@@ -369,13 +369,13 @@
         int status = Integer.parseInt(first.substring(9, 12));
         if (status < 200) {
             if (status == 101 || ++interim > MOST_INTERIM) {
-                throw new HttpFault(
+                throw new HttpProtocolException(
                         400, status == 101 ? "an upgrade that was not asked for" : "too many interim answers");
             }
             reset();
             return false;
         }
-        sink.response(new ResponseHead(
+        sink.onResponseHead(new ResponseHead(
                 status, first.length() > 13 ? first.substring(13) : "", first.charAt(7) - '0', headers));
         if (answersHead || status == 204 || status == 304) {
             return finish();
@@ -391,9 +391,9 @@
         return fixed(length);
     }
 
-    private boolean fixed(long length) throws HttpFault {
+    private boolean fixed(long length) throws HttpProtocolException {
         if (length > limits.bodyBytes()) {
-            throw new HttpFault(413, "body is longer than " + limits.bodyBytes() + " bytes");
+            throw new HttpProtocolException(413, "body is longer than " + limits.bodyBytes() + " bytes");
         }
         if (length == 0) {
             return finish();
@@ -404,21 +404,21 @@
     }
 
     /** Refuses every head whose body two parsers could measure in two ways; gives Content-Length or -1. */
-    private long checkFraming() throws HttpFault {
+    private long checkFraming() throws HttpProtocolException {
         int lengths = headers.count("content-length");
         int codings = headers.count("transfer-encoding");
         if (lengths > 1) {
-            throw new HttpFault(400, "Content-Length is given twice");
+            throw new HttpProtocolException(400, "Content-Length is given twice");
         }
         if (codings > 0) {
             if (lengths > 0) {
-                throw new HttpFault(400, "Content-Length beside Transfer-Encoding");
+                throw new HttpProtocolException(400, "Content-Length beside Transfer-Encoding");
             }
             if (codings > 1 || !headers.get("transfer-encoding").equalsIgnoreCase("chunked")) {
-                throw new HttpFault(501, "a transfer coding other than chunked");
+                throw new HttpProtocolException(501, "a transfer coding other than chunked");
             }
             if (first.contains("HTTP/1.0")) {
-                throw new HttpFault(400, "Transfer-Encoding in HTTP/1.0");
+                throw new HttpProtocolException(400, "Transfer-Encoding in HTTP/1.0");
             }
             return -1;
         }
@@ -427,26 +427,26 @@
         }
         String value = headers.get("content-length");
         if (value.isEmpty() || value.length() > 15 || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new HttpFault(400, "Content-Length is no plain number");
+            throw new HttpProtocolException(400, "Content-Length is no plain number");
         }
         return Long.parseLong(value);
     }
 
-    private void chunkSize(int length) throws HttpFault {
+    private void chunkSize(int length) throws HttpProtocolException {
         long size = 0;
         int digits = 0;
         while (digits < length && Character.digit(line[digits], 16) >= 0) {
             size = size * 16 + Character.digit(line[digits], 16);
             if (++digits > 8) {
-                throw new HttpFault(400, "a chunk size of more than 8 digits");
+                throw new HttpProtocolException(400, "a chunk size of more than 8 digits");
             }
         }
         if (digits == 0 || (digits < length && line[digits] != ';')) {
-            throw new HttpFault(400, "a chunk size that is no hexadecimal number");
+            throw new HttpProtocolException(400, "a chunk size that is no hexadecimal number");
         }
         for (int i = digits; i < length; i++) {
             if ((line[i] >= 0 && line[i] < ' ' && line[i] != '\t') || line[i] == 127) {
-                throw new HttpFault(400, "a control byte in a chunk extension");
+                throw new HttpProtocolException(400, "a control byte in a chunk extension");
             }
         }
         left = size;
@@ -454,9 +454,9 @@
         state = size == 0 ? State.TRAILER : State.CHUNK;
     }
 
-    private boolean finish() throws HttpFault {
+    private boolean finish() throws HttpProtocolException {
         reset();
-        sink.end();
+        sink.onEnd();
         return true;
     }
 
--- a/wire/src/main/java/spanrill/wire/http/HttpServer.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpServer.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import spanrill.wire.Listening;
+import spanrill.wire.TcpListener;
 
 /** Listens for HTTP/1.1 connections. */
 public final class HttpServer {
@@ -27,11 +27,11 @@
             EventLoopGroup group,
             InetSocketAddress address,
             HttpLimits limits,
-            HttpServerHandler.Times times,
+            HttpServerHandler.ConnectionLimits times,
             Predicate<Channel> admit,
             Consumer<Exchange> route,
-            Consumer<HttpFault> refused) {
-        return Listening.bind(group, address, BACKLOG, MARKS, channel -> {
+            Consumer<HttpProtocolException> refused) {
+        return TcpListener.bind(group, address, BACKLOG, MARKS, channel -> {
             if (admit.test(channel)) {
                 channel.pipeline().addLast(new HttpServerHandler(limits, times, route, refused));
             } else {
--- a/wire/src/main/java/spanrill/wire/http/HttpServerHandler.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpServerHandler.java
@@ -26,11 +26,11 @@
      * @param idleMs a connection may rest so long between requests
      * @param waitingBytes pipelined bytes kept while an answer is under way
      */
-    public record Times(long messageMs, long idleMs, int waitingBytes) {}
+    public record ConnectionLimits(long messageMs, long idleMs, int waitingBytes) {}
 
     private final Consumer<Exchange> route;
-    private final Consumer<HttpFault> refused;
-    private final Times times;
+    private final Consumer<HttpProtocolException> refused;
+    private final ConnectionLimits times;
     private final HttpParser parser;
     private ByteBuf waiting = Unpooled.EMPTY_BUFFER;
     private ByteArrayOutputStream body;
@@ -44,7 +44,11 @@
     private boolean inputClosed;
 
     /** Hands each request to {@code route}; {@code refused} is told of bytes that are none. */
-    public HttpServerHandler(HttpLimits limits, Times times, Consumer<Exchange> route, Consumer<HttpFault> refused) {
+    public HttpServerHandler(
+            HttpLimits limits,
+            ConnectionLimits times,
+            Consumer<Exchange> route,
+            Consumer<HttpProtocolException> refused) {
         this.route = route;
         this.refused = refused;
         this.times = times;
@@ -81,7 +85,7 @@
                 }
                 parser.feed(waiting);
             }
-        } catch (HttpFault fault) {
+        } catch (HttpProtocolException fault) {
             refuse(fault.status(), fault.getMessage());
             refused.accept(fault);
         } finally {
@@ -99,7 +103,7 @@
         disarm();
         byte[] text = (reason + "\n").getBytes(StandardCharsets.UTF_8);
         ByteBuf out = channel.alloc().buffer(256);
-        HttpWriter.response(
+        HttpWriter.writeResponseHead(
                 out,
                 status,
                 Headers.of(
@@ -115,13 +119,13 @@
     }
 
     @Override
-    public void request(RequestHead request) throws HttpFault {
+    public void onRequestHead(RequestHead request) throws HttpProtocolException {
         head = request;
         body = null;
         String expect = request.headers().get("expect");
         if (expect != null) {
             if (!expect.equalsIgnoreCase("100-continue")) {
-                throw new HttpFault(417, "an expectation other than 100-continue");
+                throw new HttpProtocolException(417, "an expectation other than 100-continue");
             }
             if (request.minor() == 1) {
                 ByteBuf out = channel.alloc().buffer(32);
@@ -132,7 +136,7 @@
     }
 
     @Override
-    public void body(ByteBuf part) throws HttpFault {
+    public void onBody(ByteBuf part) throws HttpProtocolException {
         if (body == null) {
             body = new ByteArrayOutputStream(Math.min(1024, part.readableBytes()));
         }
@@ -142,7 +146,7 @@
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         disarm();
         midMessage = false;
         current = new Exchange(channel, this, head, body == null ? new byte[0] : body.toByteArray());
--- a/wire/src/main/java/spanrill/wire/http/HttpWriter.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpWriter.java
@@ -14,7 +14,7 @@
     private HttpWriter() {}
 
     /** Writes a request's head. */
-    public static void request(ByteBuf out, String method, String target, Headers headers) {
+    public static void writeRequestHead(ByteBuf out, String method, String target, Headers headers) {
         text(out, method);
         out.writeByte(' ');
         text(out, target);
@@ -23,8 +23,8 @@
     }
 
     /** Writes a response's head. */
-    public static void response(ByteBuf out, int status, Headers headers) {
-        text(out, "HTTP/1.1 " + status + " " + reason(status) + "\r\n");
+    public static void writeResponseHead(ByteBuf out, int status, Headers headers) {
+        text(out, "HTTP/1.1 " + status + " " + reasonPhrase(status) + "\r\n");
         fields(out, headers);
     }
 
@@ -49,22 +49,22 @@
     }
 
     /** Writes the size line of a chunk (RFC 9112 section 7.1). */
-    public static void chunkStart(ByteBuf out, int bytes) {
+    public static void writeChunkSize(ByteBuf out, int bytes) {
         ByteBufUtil.writeAscii(out, Integer.toHexString(bytes) + "\r\n");
     }
 
     /** Writes the end of a chunk. */
-    public static void chunkEnd(ByteBuf out) {
+    public static void writeChunkEnd(ByteBuf out) {
         out.writeByte('\r').writeByte('\n');
     }
 
     /** Writes the last chunk. */
-    public static void lastChunk(ByteBuf out) {
+    public static void writeLastChunk(ByteBuf out) {
         out.writeBytes(LAST_CHUNK);
     }
 
     /** The reason phrase of a status. */
-    public static String reason(int status) {
+    public static String reasonPhrase(int status) {
         return switch (status) {
             case 100 -> "Continue";
             case 200 -> "OK";
--- a/wire/src/main/java/spanrill/wire/http/RequestHead.java
+++ b/wire/src/main/java/spanrill/wire/http/RequestHead.java
@@ -25,7 +25,7 @@
     }
 
     /** A parameter of the query, decoded, or null; one that is ill-formed counts as absent. */
-    public String query(String name) {
+    public String queryParameter(String name) {
         int start = target.indexOf('?');
         if (start < 0) {
             return null;
@@ -44,6 +44,8 @@
 
     /** True when the connection goes on after the answer (RFC 9112 section 9.3). */
     public boolean keepAlive() {
-        return minor == 1 ? !headers.lists("connection", "close") : headers.lists("connection", "keep-alive");
+        return minor == 1
+                ? !headers.containsToken("connection", "close")
+                : headers.containsToken("connection", "keep-alive");
     }
 }
--- a/wire/src/main/java/spanrill/wire/http/ResponseHead.java
+++ b/wire/src/main/java/spanrill/wire/http/ResponseHead.java
@@ -11,11 +11,13 @@
 public record ResponseHead(int status, String reason, int minor, Headers headers) {
     /** True when the connection goes on after this answer. */
     public boolean keepAlive() {
-        return minor == 1 ? !headers.lists("connection", "close") : headers.lists("connection", "keep-alive");
+        return minor == 1
+                ? !headers.containsToken("connection", "close")
+                : headers.containsToken("connection", "keep-alive");
     }
 
     /** Its Content-Length, or -1. */
-    public long length() {
+    public long contentLength() {
         String value = headers.get("content-length");
         return value == null ? -1 : Long.parseLong(value);
     }
--- a/wire/src/main/java/spanrill/wire/platform/FieldFault.java
+++ b/wire/src/main/java/spanrill/wire/platform/InvalidFieldException.java
@@ -1,11 +1,11 @@
 package spanrill.wire.platform;
 
 /** A message that is framed well has a field that can't be used; says which and why. */
-public final class FieldFault extends Exception {
+public final class InvalidFieldException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int cause;
 
-    FieldFault(int cause, String message) {
+    InvalidFieldException(int cause, String message) {
         super(message, null, false, false);
         this.cause = cause;
     }
--- a/wire/src/main/java/spanrill/wire/platform/Message.java
+++ b/wire/src/main/java/spanrill/wire/platform/Message.java
@@ -10,9 +10,9 @@
  */
 public final class Message {
     /** All that follows the length field: 16 KiB at most. */
-    public static final int MOST_BYTES = 16 * 1024;
+    public static final int MAX_BYTES = 16 * 1024;
     /** Type and session. */
-    static final int LEAST_BYTES = 9;
+    static final int MIN_BYTES = 9;
 
     private static final int PARAMETER_HEAD = 3;
 
@@ -62,7 +62,7 @@
     }
 
     /** True when a parameter came twice. */
-    public boolean repeated() {
+    public boolean hasDuplicateParameter() {
         return repeated;
     }
 
@@ -95,7 +95,7 @@
 
     /** Bytes on the wire, the length field included. */
     public int size() {
-        int size = 2 + LEAST_BYTES;
+        int size = 2 + MIN_BYTES;
         for (int i = 0; i < count; i++) {
             size += PARAMETER_HEAD + values[i].length;
         }
@@ -109,7 +109,7 @@
      */
     public void write(ByteBuf out) {
         int size = size() - 2;
-        if (size > MOST_BYTES) {
+        if (size > MAX_BYTES) {
             throw new IllegalStateException("a message of " + size + " bytes");
         }
         out.writeShort(size).writeByte(type.code()).writeLong(session);
--- a/wire/src/main/java/spanrill/wire/platform/MessageDecoder.java
+++ b/wire/src/main/java/spanrill/wire/platform/MessageDecoder.java
@@ -12,13 +12,13 @@
     /** Takes the messages of a read, one by one. */
     public interface Sink {
         /** A whole message; false: read no further, the connection is done with. */
-        boolean message(Message message);
+        boolean onMessage(Message message);
     }
 
     /**
      * Reads all that is complete. The buffer stays the caller's.
      *
-     * @throws FrameFault when what comes is no message; the decoder is of no further use then
+     * @throws MalformedFrameException when what comes is no message; the decoder is of no further use then
      */
     public void feed(ByteBuf in, Sink sink) {
         if (kept != null && kept.isReadable()) {
@@ -31,7 +31,7 @@
                     return;
                 }
                 if (!kept.isReadable()) {
-                    drop();
+                    release();
                     break;
                 }
             }
@@ -52,12 +52,12 @@
     }
 
     /** True when a message has begun and is not complete. */
-    public boolean within() {
+    public boolean hasPartialMessage() {
         return kept != null && kept.isReadable();
     }
 
     /** Lets go of what it keeps. */
-    public void drop() {
+    public void release() {
         if (kept != null) {
             kept.release();
             kept = null;
@@ -66,8 +66,8 @@
 
     private static int length(ByteBuf in) {
         int length = in.getUnsignedShort(in.readerIndex());
-        if (length < Message.LEAST_BYTES || length > Message.MOST_BYTES) {
-            throw new FrameFault("a message of " + length + " bytes");
+        if (length < Message.MIN_BYTES || length > Message.MAX_BYTES) {
+            throw new MalformedFrameException("a message of " + length + " bytes");
         }
         return length;
     }
@@ -87,17 +87,17 @@
         while (in.readerIndex() < end) {
             int left = end - in.readerIndex();
             if (left < 3) {
-                throw new FrameFault("a parameter cut short");
+                throw new MalformedFrameException("a parameter cut short");
             }
             int code = in.readUnsignedByte();
             int bytes = in.readUnsignedShort();
             if (bytes > left - 3) {
-                throw new FrameFault("parameter " + code + " of " + bytes + " bytes does not fit");
+                throw new MalformedFrameException("parameter " + code + " of " + bytes + " bytes does not fit");
             }
             byte[] value = new byte[bytes];
             in.readBytes(value);
             message.with(code, value);
         }
-        return sink.message(message);
+        return sink.onMessage(message);
     }
 }
--- a/wire/src/main/java/spanrill/wire/platform/MessageType.java
+++ b/wire/src/main/java/spanrill/wire/platform/MessageType.java
@@ -11,7 +11,7 @@
     /** Refusal, give-up or end, told apart by the cause and the state of the session. */
     RELEASE(12),
     /** A release was heard; free. */
-    RELEASE_HEARD(16),
+    RELEASE_ACKNOWLEDGED(16),
     /** A note on a session that stands. */
     NOTE(44),
     /** The session moves: its viewer comes again. */
--- a/wire/src/main/java/spanrill/wire/platform/Parameter.java
+++ b/wire/src/main/java/spanrill/wire/platform/Parameter.java
@@ -9,17 +9,17 @@
     /** The title. */
     public static final int TITLE = 5;
     /** Figures of the request and its viewer. */
-    public static final int FIGURES = 6;
+    public static final int ATTRIBUTES = 6;
     /** How long to stay away after a refusal, ms. */
-    public static final int STAY_AWAY = 7;
+    public static final int RETRY_AFTER = 7;
     /** Kind of a note. */
     public static final int NOTE_KIND = 8;
     /** A load report. */
-    public static final int REPORT = 10;
+    public static final int LOAD_REPORT = 10;
     /** A rung, from 0. */
     public static final int RUNG = 12;
     /** Figure of a note. */
-    public static final int FIGURE = 13;
+    public static final int NOTE_VALUE = 13;
     /** Cause of a release or of a test and its result; one byte. */
     public static final int CAUSE = 15;
     /** Description of a session; any bytes. */
--- a/wire/src/main/java/spanrill/wire/platform/Figures.java
+++ b/wire/src/main/java/spanrill/wire/platform/RequestAttributes.java
@@ -10,19 +10,19 @@
  * @param copies cells in a row that hold it
  * @param top highest rung that the viewer can use
  * @param viewer the viewer's session, 16 hex digits
- * @param again true for a viewer who comes again
- * @param at server at which the session plays already, or null
+ * @param returning true for a viewer who comes again
+ * @param currentServer server at which the session plays already, or null
  */
-public record Figures(int home, int copies, int top, String viewer, boolean again, String at) {
+public record RequestAttributes(int home, int copies, int top, String viewer, boolean returning, String currentServer) {
     private static final int MOST_TEXT = 512;
 
     /** Reads them; names that are not known are passed over. */
-    static Figures parse(String text) throws FieldFault {
+    static RequestAttributes parse(String text) throws InvalidFieldException {
         if (text == null) {
-            throw new FieldFault(Cause.ELEMENT_MISSING, "no figures");
+            throw new InvalidFieldException(Cause.ELEMENT_MISSING, "no figures");
         }
         if (text.length() > MOST_TEXT) {
-            throw new FieldFault(Cause.INVALID_CONTENTS, "figures of " + text.length() + " characters");
+            throw new InvalidFieldException(Cause.INVALID_CONTENTS, "figures of " + text.length() + " characters");
         }
         Integer home = null;
         Integer copies = null;
@@ -34,7 +34,8 @@
         for (String part : text.split(";", -1)) {
             int colon = part.indexOf(':');
             if (colon <= 0 || !seen.add(part.substring(0, colon))) {
-                throw new FieldFault(Cause.INVALID_CONTENTS, "figures have a part without a name of its own");
+                throw new InvalidFieldException(
+                        Cause.INVALID_CONTENTS, "figures have a part without a name of its own");
             }
             String value = part.substring(colon + 1);
             switch (part.substring(0, colon)) {
@@ -48,32 +49,32 @@
             }
         }
         if (home == null || copies == null || top == null || viewer == null) {
-            throw new FieldFault(Cause.ELEMENT_MISSING, "figures lack home, copies, top or viewer");
+            throw new InvalidFieldException(Cause.ELEMENT_MISSING, "figures lack home, copies, top or viewer");
         }
-        return new Figures(home, copies, top, viewer, again, at);
+        return new RequestAttributes(home, copies, top, viewer, again, at);
     }
 
-    private static int whole(String name, String value) throws FieldFault {
+    private static int whole(String name, String value) throws InvalidFieldException {
         boolean digits =
                 !value.isEmpty() && value.length() <= 9 && value.chars().allMatch(c -> c >= '0' && c <= '9');
         if (!digits) {
-            throw new FieldFault(Cause.INVALID_CONTENTS, name + " is no whole number");
+            throw new InvalidFieldException(Cause.INVALID_CONTENTS, name + " is no whole number");
         }
         return Integer.parseInt(value);
     }
 
-    private static String word(String name, String value) throws FieldFault {
+    private static String word(String name, String value) throws InvalidFieldException {
         if (value.isEmpty() || value.length() > 64) {
-            throw new FieldFault(Cause.INVALID_CONTENTS, name + " is empty or too long");
+            throw new InvalidFieldException(Cause.INVALID_CONTENTS, name + " is empty or too long");
         }
         return value;
     }
 
     /** 16 hex digits. */
-    static String hex(String name, String value) throws FieldFault {
+    static String hex(String name, String value) throws InvalidFieldException {
         boolean hex = value.length() == 16 && value.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128);
         if (!hex) {
-            throw new FieldFault(Cause.INVALID_CONTENTS, name + " is not 16 hex digits");
+            throw new InvalidFieldException(Cause.INVALID_CONTENTS, name + " is not 16 hex digits");
         }
         return value;
     }
--- a/wire/src/main/java/spanrill/wire/platform/SetUp.java
+++ b/wire/src/main/java/spanrill/wire/platform/SetUp.java
@@ -8,40 +8,41 @@
  * @param waitMs how long the viewer waits from when it sent this, ms; 0 with {@code at}: no answer is
  *     waited for
  * @param title the title, 16 hex digits
- * @param figures the rest
+ * @param attributes the rest
  * @param description what the viewer describes, as it came
  */
-public record SetUp(long session, String className, double waitMs, String title, Figures figures, byte[] description) {
+public record SetUp(
+        long session, String className, double waitMs, String title, RequestAttributes attributes, byte[] description) {
     private static final long MOST_WAIT_MS = 600_000;
 
     /** Reads a set-up of a viewer. */
-    public static SetUp of(Message message) throws FieldFault {
-        if (message.repeated()) {
-            throw new FieldFault(Cause.INVALID_CONTENTS, "a parameter comes twice");
+    public static SetUp of(Message message) throws InvalidFieldException {
+        if (message.hasDuplicateParameter()) {
+            throw new InvalidFieldException(Cause.INVALID_CONTENTS, "a parameter comes twice");
         }
         if (message.session() == 0) {
-            throw new FieldFault(Cause.INVALID_REFERENCE, "no session");
+            throw new InvalidFieldException(Cause.INVALID_REFERENCE, "no session");
         }
         String className = text(message, Parameter.CLASS, "class");
-        Figures figures = Figures.parse(message.text(Parameter.FIGURES));
-        String title = Figures.hex("title", text(message, Parameter.TITLE, "title"));
+        RequestAttributes figures = RequestAttributes.parse(message.text(Parameter.ATTRIBUTES));
+        String title = RequestAttributes.hex("title", text(message, Parameter.TITLE, "title"));
         byte[] description = message.get(Parameter.DESCRIPTION);
         if (description == null) {
-            throw new FieldFault(Cause.ELEMENT_MISSING, "no description");
+            throw new InvalidFieldException(Cause.ELEMENT_MISSING, "no description");
         }
-        double wait = figures.at() != null ? 0 : waitMs(message);
+        double wait = figures.currentServer() != null ? 0 : waitMs(message);
         return new SetUp(message.session(), className, wait, title, figures, description);
     }
 
-    private static String text(Message message, int code, String name) throws FieldFault {
+    private static String text(Message message, int code, String name) throws InvalidFieldException {
         String text = message.text(code);
         if (text == null || text.isEmpty()) {
-            throw new FieldFault(Cause.ELEMENT_MISSING, "no " + name);
+            throw new InvalidFieldException(Cause.ELEMENT_MISSING, "no " + name);
         }
         return text;
     }
 
-    private static double waitMs(Message message) throws FieldFault {
+    private static double waitMs(Message message) throws InvalidFieldException {
         String text = text(message, Parameter.WAIT, "wait");
         try {
             double wait = Double.parseDouble(text);
@@ -51,6 +52,6 @@
         } catch (NumberFormatException e) {
             // said below
         }
-        throw new FieldFault(Cause.INVALID_CONTENTS, "the wait is no time in range");
+        throw new InvalidFieldException(Cause.INVALID_CONTENTS, "the wait is no time in range");
     }
 }
--- a/wire/src/test/java/spanrill/wire/box/BoxLinkTest.java
+++ b/wire/src/test/java/spanrill/wire/box/BoxLinkTest.java
@@ -12,15 +12,16 @@
 class BoxLinkTest {
     @Test
     void loadReportsAreReadBack() {
-        assertEquals(new Load(7, 0.4, 1.25), BoxLink.load(BoxLink.format(new Load(7, 0.4, 1.25))));
-        assertTrue(Double.isNaN(BoxLink.load("inflight=-3;x0=NaN;x1=Infinity").link()));
-        assertNull(BoxLink.load(null));
+        assertEquals(new Load(7, 0.4, 1.25), BoxLink.parseLoad(BoxLink.formatLoad(new Load(7, 0.4, 1.25))));
+        assertTrue(
+                Double.isNaN(BoxLink.parseLoad("inflight=-3;x0=NaN;x1=Infinity").link()));
+        assertNull(BoxLink.parseLoad(null));
     }
 
     @Test
     void notesAreReadBack() {
         Note note = new Note(Note.Kind.DELIVERED, "a-0.1", 0.83);
-        assertEquals(note, Note.parse(note.line().trim()));
+        assertEquals(note, Note.parse(note.format().trim()));
         assertNull(Note.parse("delivered\ta"));
         assertNull(Note.parse("wonder\ta\t1"));
         assertNull(Note.parse("link\ta\t-1"));
@@ -30,6 +31,6 @@
     @Property(tries = 1000, seed = "20261201")
     void anyTextIsReadOrPassedOver(@ForAll String text) {
         Note.parse(text);
-        BoxLink.load(text);
+        BoxLink.parseLoad(text);
     }
 }
--- a/wire/src/test/java/spanrill/wire/dash/CmcdTest.java
+++ b/wire/src/test/java/spanrill/wire/dash/CmcdTest.java
@@ -27,6 +27,6 @@
     @Property(tries = 2000, seed = "20261201")
     void anyTextIsReadOrPassedOver(@ForAll String text) {
         Cmcd.parse(text);
-        Cmcd.decode(text);
+        Cmcd.decodeQueryParameter(text);
     }
 }
--- a/wire/src/test/java/spanrill/wire/dash/MpdTest.java
+++ b/wire/src/test/java/spanrill/wire/dash/MpdTest.java
@@ -16,7 +16,7 @@
 
 class MpdTest {
     private static final Mpd MPD = mpd(
-            Timeline.even(61_500, 2000),
+            Timeline.uniform(61_500, 2000),
             "/s/x/manifest.mpd",
             "/s/x/",
             2,
@@ -51,9 +51,9 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws MpdFault {
+    void whatIsWrittenIsRead() throws InvalidMpdException {
         assertEquals(MPD, MpdParser.parse(MpdWriter.write(MPD)));
-        assertEquals(31, MPD.segments());
+        assertEquals(31, MPD.segmentCount());
     }
 
     @Test
@@ -67,12 +67,12 @@
             @ForAll @LongRange(min = 100, max = 60_000) long segment,
             @ForAll @IntRange(max = 20) int floor,
             @ForAll @IntRange(min = 1, max = 20) int rungs)
-            throws MpdFault {
+            throws InvalidMpdException {
         List<Mpd.Representation> list = new java.util.ArrayList<>();
         for (int i = 0; i < rungs; i++) {
             list.add(rung(floor + i, 1000L * (i + 1)));
         }
-        Mpd mpd = mpd(Timeline.even(duration, segment), "/s/<&\">'/m", "/s/&/", floor, list);
+        Mpd mpd = mpd(Timeline.uniform(duration, segment), "/s/<&\">'/m", "/s/&/", floor, list);
         assertEquals(mpd, MpdParser.parse(MpdWriter.write(mpd)));
         assertEquals(List.of(), MpdValidator.check(MpdWriter.write(mpd)));
     }
@@ -82,19 +82,19 @@
     void anyTimelineIsReadBack(
             @ForAll @Size(min = 1, max = 30) List<@LongRange(min = 1, max = 9000) Long> pattern,
             @ForAll @LongRange(min = 1, max = 300_000) long duration)
-            throws MpdFault {
-        Timeline timeline = Timeline.of(duration, pattern);
+            throws InvalidMpdException {
+        Timeline timeline = Timeline.repeating(duration, pattern);
         assertEquals(duration, timeline.durationMs());
         long sum = 0;
-        for (int number = 1; number <= timeline.segments(); number++) {
-            sum += timeline.lengthMs(number);
+        for (int number = 1; number <= timeline.segmentCount(); number++) {
+            sum += timeline.segmentLengthMs(number);
         }
         assertEquals(duration, sum);
-        assertEquals(0, timeline.lengthMs(timeline.segments() + 1));
-        assertEquals(0, timeline.lengthMs(0));
+        assertEquals(0, timeline.segmentLengthMs(timeline.segmentCount() + 1));
+        assertEquals(0, timeline.segmentLengthMs(0));
         Mpd mpd = mpd(timeline, "/m", "/s/", 1, List.of(rung(1, 5)));
         String text = MpdWriter.write(mpd);
-        assertEquals(!timeline.isEven(), text.contains("<SegmentTimeline>"));
+        assertEquals(!timeline.isUniform(), text.contains("<SegmentTimeline>"));
         assertEquals(mpd, MpdParser.parse(text));
         assertEquals(List.of(), MpdValidator.check(text));
     }
@@ -140,7 +140,7 @@
         MpdValidator.check(text);
         try {
             MpdParser.parse(text);
-        } catch (MpdFault fault) {
+        } catch (InvalidMpdException fault) {
             assertTrue(fault.getMessage().length() < 300);
         }
     }
@@ -155,8 +155,8 @@
                 "|there is no"
             })
     void otherTextsAreRefused(String text, String reason) {
-        MpdFault fault = assertThrows(
-                MpdFault.class,
+        InvalidMpdException fault = assertThrows(
+                InvalidMpdException.class,
                 () -> MpdParser.parse(
                         text == null
                                 ? "<MPD xmlns=\"" + MpdParser.NAMESPACE
@@ -183,7 +183,8 @@
     void brokenOnesAreRefusedWithTheReason(String part, String by, String reason) {
         String text = MpdWriter.write(MPD);
         assertTrue(text.contains(part));
-        MpdFault fault = assertThrows(MpdFault.class, () -> MpdParser.parse(text.replace(part, by)));
+        InvalidMpdException fault =
+                assertThrows(InvalidMpdException.class, () -> MpdParser.parse(text.replace(part, by)));
         assertTrue(fault.getMessage().contains(reason), fault.getMessage());
     }
 
@@ -191,9 +192,9 @@
     void depthAndSizeAreBounded() {
         String deep = "<MPD xmlns=\"" + MpdParser.NAMESPACE + "\" mediaPresentationDuration=\"PT1S\""
                 + " minBufferTime=\"PT1S\">" + "<a>".repeat(50);
-        assertTrue(assertThrows(MpdFault.class, () -> MpdParser.parse(deep))
+        assertTrue(assertThrows(InvalidMpdException.class, () -> MpdParser.parse(deep))
                 .getMessage()
                 .contains("deeper"));
-        assertThrows(MpdFault.class, () -> MpdParser.parse(" ".repeat(2_000_000)));
+        assertThrows(InvalidMpdException.class, () -> MpdParser.parse(" ".repeat(2_000_000)));
     }
 }
--- a/wire/src/test/java/spanrill/wire/http/EventStreamTest.java
+++ b/wire/src/test/java/spanrill/wire/http/EventStreamTest.java
@@ -14,9 +14,9 @@
             + "id:42\r\ndata:x\r\n\r\n"
             + "event: other\nid: 9\n\ndata: no number\n\nid: 43\ndata: cut off\n";
 
-    private static List<String> read(int cut) throws HttpFault {
+    private static List<String> read(int cut) throws HttpProtocolException {
         List<String> told = new ArrayList<>();
-        EventStream stream = new EventStream(64, (id, data) -> told.add(id + "=" + data));
+        EventStreamParser stream = new EventStreamParser(64, (id, data) -> told.add(id + "=" + data));
         byte[] all = TEXT.getBytes(StandardCharsets.UTF_8);
         stream.feed(Unpooled.wrappedBuffer(all, 0, cut));
         stream.feed(Unpooled.wrappedBuffer(all, cut, all.length - cut));
@@ -25,7 +25,7 @@
 
     /** Wherever the pieces are cut; the event that is cut off is never told. */
     @Test
-    void readsEventsInAnyPieces() throws HttpFault {
+    void readsEventsInAnyPieces() throws HttpProtocolException {
         for (int cut = 0; cut <= TEXT.length(); cut++) {
             assertEquals(List.of("41={\"a\":\n1}", "42=x", "null=no number"), read(cut));
         }
@@ -33,11 +33,11 @@
 
     @Test
     void endlessLinesAndEventsAreFaults() {
-        EventStream stream = new EventStream(64, (id, data) -> {});
-        assertThrows(HttpFault.class, () -> stream.feed(Unpooled.wrappedBuffer(new byte[65])));
+        EventStreamParser stream = new EventStreamParser(64, (id, data) -> {});
+        assertThrows(HttpProtocolException.class, () -> stream.feed(Unpooled.wrappedBuffer(new byte[65])));
         byte[] line = "data: 0123456789\n".getBytes(StandardCharsets.UTF_8);
-        EventStream lines = new EventStream(64, (id, data) -> {});
-        assertThrows(HttpFault.class, () -> {
+        EventStreamParser lines = new EventStreamParser(64, (id, data) -> {});
+        assertThrows(HttpProtocolException.class, () -> {
             for (int i = 0; i < 10; i++) {
                 lines.feed(Unpooled.wrappedBuffer(line));
             }
--- a/wire/src/test/java/spanrill/wire/http/HttpParserTest.java
+++ b/wire/src/test/java/spanrill/wire/http/HttpParserTest.java
@@ -170,18 +170,18 @@
         Recorder recorder = new Recorder();
         HttpParser parser = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, recorder);
         parser.feed(Unpooled.wrappedBuffer(bytes("HTTP/1.0 200 OK\r\n\r\nall of it")));
-        assertTrue(parser.eof());
+        assertTrue(parser.endOfInput());
         assertEquals("end all of it", recorder.said.get(1));
         HttpParser cut = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, new Recorder());
         cut.feed(Unpooled.wrappedBuffer(bytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nal")));
-        assertThrows(HttpFault.class, cut::eof);
+        assertThrows(HttpProtocolException.class, cut::endOfInput);
     }
 
     @Test
     void anAnswerToHeadHasNoBody() throws Exception {
         Recorder recorder = new Recorder();
         HttpParser parser = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, recorder);
-        parser.nextAnswersHead(true);
+        parser.expectResponseToHead(true);
         assertTrue(parser.feed(Unpooled.wrappedBuffer(bytes(OK + "5\r\n\r\n"))));
         assertEquals("end ", recorder.said.get(1));
     }
--- a/wire/src/test/java/spanrill/wire/http/HttpServerHandlerTest.java
+++ b/wire/src/test/java/spanrill/wire/http/HttpServerHandlerTest.java
@@ -18,9 +18,9 @@
 
 class HttpServerHandlerTest {
     private final List<Exchange> came = new ArrayList<>();
-    private final List<HttpFault> refused = new ArrayList<>();
+    private final List<HttpProtocolException> refused = new ArrayList<>();
     private final EmbeddedChannel channel = new EmbeddedChannel(new HttpServerHandler(
-            HttpLimits.SERVER, new HttpServerHandler.Times(1000, 5000, 200), came::add, refused::add));
+            HttpLimits.SERVER, new HttpServerHandler.ConnectionLimits(1000, 5000, 200), came::add, refused::add));
 
     private void send(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
@@ -59,7 +59,7 @@
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {0x16}));
         assertTrue(sent().startsWith("HTTP/1.1 400 "), "no line end is waited for");
         assertFalse(channel.isActive());
-        assertTrue(refused.get(0).tlsHello());
+        assertTrue(refused.get(0).isTlsHello());
     }
 
     @Test
@@ -69,7 +69,7 @@
         send("A".repeat(492));
         assertTrue(sent().startsWith("HTTP/1.1 501 "));
         assertFalse(channel.isActive());
-        assertFalse(refused.get(0).tlsHello());
+        assertFalse(refused.get(0).isTlsHello());
     }
 
     @Test
@@ -192,19 +192,21 @@
         ByteBuf out = Unpooled.buffer();
         assertThrows(
                 IllegalArgumentException.class,
-                () -> HttpWriter.response(out, 200, Headers.of("x", "a\r\nset-cookie: b")));
-        assertThrows(IllegalArgumentException.class, () -> HttpWriter.request(out, "GET", "/a\r\nb", new Headers()));
+                () -> HttpWriter.writeResponseHead(out, 200, Headers.of("x", "a\r\nset-cookie: b")));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> HttpWriter.writeRequestHead(out, "GET", "/a\r\nb", new Headers()));
     }
 
     @Test
     void rangesAreReadAgainstTheLength() {
-        assertEquals(new ByteRange(2, 4), ByteRange.of("bytes=2-4", 10));
-        assertEquals(new ByteRange(2, 9), ByteRange.of("bytes=2-", 10));
-        assertEquals(new ByteRange(7, 9), ByteRange.of("bytes=-3", 10));
-        assertEquals(new ByteRange(0, 9), ByteRange.of("bytes=-30", 10));
-        assertNull(ByteRange.of("bytes=10-", 10));
-        assertNull(ByteRange.of("bytes=5-4", 10));
-        assertFalse(ByteRange.understood("bytes=1-2,4-5"));
-        assertFalse(ByteRange.understood("lines=1-2"));
+        assertEquals(new ByteRange(2, 4), ByteRange.resolve("bytes=2-4", 10));
+        assertEquals(new ByteRange(2, 9), ByteRange.resolve("bytes=2-", 10));
+        assertEquals(new ByteRange(7, 9), ByteRange.resolve("bytes=-3", 10));
+        assertEquals(new ByteRange(0, 9), ByteRange.resolve("bytes=-30", 10));
+        assertNull(ByteRange.resolve("bytes=10-", 10));
+        assertNull(ByteRange.resolve("bytes=5-4", 10));
+        assertFalse(ByteRange.isSupported("bytes=1-2,4-5"));
+        assertFalse(ByteRange.isSupported("lines=1-2"));
     }
 }
--- a/wire/src/test/java/spanrill/wire/http/Recorder.java
+++ b/wire/src/test/java/spanrill/wire/http/Recorder.java
@@ -29,7 +29,7 @@
                 }
                 from = to;
             }
-        } catch (HttpFault fault) {
+        } catch (HttpProtocolException fault) {
             recorder.said.add("fault " + fault.status());
         }
         return recorder.said;
@@ -44,22 +44,22 @@
     }
 
     @Override
-    public void request(RequestHead head) {
+    public void onRequestHead(RequestHead head) {
         said.add(head.method() + " " + head.target() + " " + head.headers());
     }
 
     @Override
-    public void response(ResponseHead head) {
+    public void onResponseHead(ResponseHead head) {
         said.add(head.status() + " " + head.reason() + " " + head.headers());
     }
 
     @Override
-    public void body(ByteBuf part) {
+    public void onBody(ByteBuf part) {
         body.append(part.toString(StandardCharsets.ISO_8859_1));
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         said.add("end " + body);
         body.setLength(0);
     }
--- a/wire/src/test/java/spanrill/wire/platform/MessageDecoderTest.java
+++ b/wire/src/test/java/spanrill/wire/platform/MessageDecoderTest.java
@@ -43,7 +43,7 @@
             decoder.feed(Unpooled.wrappedBuffer(stream, from, to - from), message -> read.add(text(message)));
             from = to;
         }
-        decoder.drop();
+        decoder.release();
         return read;
     }
 
@@ -83,8 +83,8 @@
             List<Message> read = new ArrayList<>();
             decoder.feed(Unpooled.wrappedBuffer(stream, 0, n), read::add);
             assertEquals(n / one.length, read.size());
-            assertEquals(n % one.length != 0, decoder.within());
-            decoder.drop();
+            assertEquals(n % one.length != 0, decoder.hasPartialMessage());
+            decoder.release();
         }
     }
 
@@ -102,7 +102,7 @@
             })
     void whatCanNotBeFramedIsAFault(String hex) {
         byte[] stream = ByteBufUtil.decodeHexDump(hex);
-        assertThrows(FrameFault.class, () -> read(stream));
+        assertThrows(MalformedFrameException.class, () -> read(stream));
     }
 
     @Test
@@ -120,7 +120,7 @@
     @Test
     void theLongestMessageIsReadAndNothingLonger() {
         Message longest =
-                new Message(MessageType.ANSWER, 1).with(Parameter.DESCRIPTION, new byte[Message.MOST_BYTES - 9 - 3]);
+                new Message(MessageType.ANSWER, 1).with(Parameter.DESCRIPTION, new byte[Message.MAX_BYTES - 9 - 3]);
         assertEquals(1, read(bytes(longest), 5, 700, 9000).size());
         assertThrows(
                 IllegalStateException.class,
@@ -134,9 +134,9 @@
         ByteBuf in = Unpooled.wrappedBuffer(new byte[] {0x40, 0, 1, 2, 3});
         decoder.feed(in, message -> true);
         assertFalse(in.isReadable());
-        assertTrue(decoder.within());
-        decoder.drop();
-        assertFalse(decoder.within());
+        assertTrue(decoder.hasPartialMessage());
+        decoder.release();
+        assertFalse(decoder.hasPartialMessage());
     }
 
     @Property(tries = 300, seed = "20261201")
@@ -179,7 +179,7 @@
         try {
             read.addAll(read(stream, cuts));
             return "read";
-        } catch (FrameFault fault) {
+        } catch (MalformedFrameException fault) {
             return "fault";
         }
     }
--- a/wire/src/test/java/spanrill/wire/platform/SetUpTest.java
+++ b/wire/src/test/java/spanrill/wire/platform/SetUpTest.java
@@ -20,14 +20,14 @@
                 .with(Parameter.CLASS, className)
                 .with(Parameter.WAIT, wait)
                 .with(Parameter.TITLE, title)
-                .with(Parameter.FIGURES, figures)
+                .with(Parameter.ATTRIBUTES, figures)
                 .with(Parameter.DESCRIPTION, new byte[] {1, 2});
     }
 
     @Test
-    void readsAUsualSetUp() throws FieldFault {
+    void readsAUsualSetUp() throws InvalidFieldException {
         SetUp setUp = SetUp.of(message("paid", "1500", "7f3a9c21e0b4d655", FIGURES + ";again:1;new:x"));
-        assertEquals(new Figures(4, 3, 4, "00000000b4d65521", true, null), setUp.figures());
+        assertEquals(new RequestAttributes(4, 3, 4, "00000000b4d65521", true, null), setUp.attributes());
         assertEquals(1500, setUp.waitMs());
         assertArrayEquals(new byte[] {1, 2}, setUp.description());
     }
@@ -35,9 +35,9 @@
     /** Guards against refusing the sessions of a start: their wait is no time, and none is waited for. */
     @ParameterizedTest
     @ValueSource(strings = {"inf", "-1", "1e300", "later"})
-    void theWaitOfASessionThatPlaysIsNotRead(String wait) throws FieldFault {
+    void theWaitOfASessionThatPlaysIsNotRead(String wait) throws InvalidFieldException {
         SetUp setUp = SetUp.of(message("paid", wait, "7f3a9c21e0b4d655", FIGURES + ";at:s-00c41f7a"));
-        assertEquals("s-00c41f7a", setUp.figures().at());
+        assertEquals("s-00c41f7a", setUp.attributes().currentServer());
     }
 
     @ParameterizedTest
@@ -62,23 +62,24 @@
             })
     void wrongFieldsAreFaultsWithACause(String className, String wait, String title, String figures, int cause) {
         String given = "F".equals(figures) ? FIGURES : figures;
-        FieldFault fault = assertThrows(FieldFault.class, () -> SetUp.of(message(className, wait, title, given)));
+        InvalidFieldException fault =
+                assertThrows(InvalidFieldException.class, () -> SetUp.of(message(className, wait, title, given)));
         assertEquals(cause, fault.releaseCause());
     }
 
     @Test
     void aParameterThatComesTwiceOrNoSessionIsAFault() {
         assertThrows(
-                FieldFault.class,
+                InvalidFieldException.class,
                 () -> SetUp.of(
                         message("paid", "1500", "7f3a9c21e0b4d655", FIGURES).with(Parameter.CLASS, "free")));
-        assertThrows(FieldFault.class, () -> SetUp.of(new Message(MessageType.SET_UP, 0)));
+        assertThrows(InvalidFieldException.class, () -> SetUp.of(new Message(MessageType.SET_UP, 0)));
     }
 
     @Test
     void reportsKeepWhatIsAFigure() {
-        assertEquals(Map.of("x0", 12.0, "queue", 3.0), Report.parse("x0:12;x1:noise;queue:3;:4;x;y:inf"));
-        assertNull(Report.parse(null));
-        assertTrue(Double.isNaN(Report.number("")) && Double.isNaN(Report.number("NaN")));
+        assertEquals(Map.of("x0", 12.0, "queue", 3.0), LoadReport.parse("x0:12;x1:noise;queue:3;:4;x;y:inf"));
+        assertNull(LoadReport.parse(null));
+        assertTrue(Double.isNaN(LoadReport.parseFinite("")) && Double.isNaN(LoadReport.parseFinite("NaN")));
     }
 }
