--- a/cli/src/main/java/spanrill/cli/ModuleSource.java
+++ b/cli/src/main/java/spanrill/cli/ModuleSource.java
@@ -38,7 +38,7 @@
      *
      * @throws BadInput with the place and reason when it can't be read or compiled
      */
-    static SessionCore.Policy compile(Path file) throws BadInput {
+    static SessionCore.ModuleFactory compile(Path file) throws BadInput {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler == null) {
             throw new BadInput("this Java has no compiler: a JDK is needed to play another module");
@@ -92,7 +92,8 @@
         return policy(file, classes);
     }
 
-    private static SessionCore.Policy policy(Path file, Map<String, ByteArrayOutputStream> classes) throws BadInput {
+    private static SessionCore.ModuleFactory policy(Path file, Map<String, ByteArrayOutputStream> classes)
+            throws BadInput {
         ClassLoader loader = new ClassLoader(ModuleSource.class.getClassLoader()) {
             @Override
             protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
--- a/cli/src/main/java/spanrill/cli/VersionsCommand.java
+++ b/cli/src/main/java/spanrill/cli/VersionsCommand.java
@@ -119,7 +119,7 @@
 
     private Played play(Scored version, List<Day> days) {
         try {
-            SessionCore.Policy policy =
+            SessionCore.ModuleFactory policy =
                     ModuleSource.compile(journal.resolve("blobs").resolve(version.text() + ".txt"));
             double sum = 0;
             for (Day day : days) {
--- a/core/src/main/java/spanrill/setup/Pairs.java
+++ b/core/src/main/java/spanrill/setup/FlattenedObject.java
@@ -8,23 +8,23 @@
  * Values by path. A list of plain values is one value joined by commas; a list of objects has its length
  * under {@code .count} and its items under {@code .0}, {@code .1} and so forth.
  */
-public final class Pairs {
+public final class FlattenedObject {
     private final Map<String, String> values;
     private final String prefix;
 
     /** Reads from these values. */
-    public Pairs(Map<String, String> values) {
+    public FlattenedObject(Map<String, String> values) {
         this(values, "");
     }
 
-    private Pairs(Map<String, String> values, String prefix) {
+    private FlattenedObject(Map<String, String> values, String prefix) {
         this.values = values;
         this.prefix = prefix;
     }
 
     /** The same values seen from a path, which ends with a dot or is empty. */
-    public Pairs at(String path) {
-        return new Pairs(values, prefix + path);
+    public FlattenedObject section(String path) {
+        return new FlattenedObject(values, prefix + path);
     }
 
     /** True when there is such a value. */
@@ -36,7 +36,7 @@
     public String text(String key) {
         String value = values.get(prefix + key);
         if (value == null) {
-            throw fault(key, "is missing in setup");
+            throw invalid(key, "is missing in setup");
         }
         return value;
     }
@@ -45,7 +45,7 @@
     public int integer(String key) {
         double number = number(key);
         if (number != Math.rint(number) || Math.abs(number) > Integer.MAX_VALUE) {
-            throw fault(key, "is not a whole number in range: '" + text(key) + "'");
+            throw invalid(key, "is not a whole number in range: '" + text(key) + "'");
         }
         return (int) number;
     }
@@ -56,12 +56,12 @@
     }
 
     /** A finite number, or NaN where there is none. */
-    public double optional(String key) {
+    public double optionalNumber(String key) {
         return has(key) ? number(key) : Double.NaN;
     }
 
     /** How many objects a list has; 0 where there is none. */
-    public int count(String key) {
+    public int itemCount(String key) {
         return has(key + ".count") ? integer(key + ".count") : 0;
     }
 
@@ -77,14 +77,14 @@
     /** An item of a list that must have it. */
     public double item(String key, List<Double> list, int i) {
         if (i >= list.size()) {
-            throw fault(key, "has too few items");
+            throw invalid(key, "has too few items");
         }
         return list.get(i);
     }
 
     /** A fault at a key. */
-    public SetupFault fault(String key, String what) {
-        return new SetupFault(prefix + key, what);
+    public InvalidFieldException invalid(String key, String what) {
+        return new InvalidFieldException(prefix + key, what);
     }
 
     private double parse(String key, String value) {
@@ -96,6 +96,6 @@
         } catch (NumberFormatException e) {
             // said below, with the key
         }
-        throw fault(key, "is not a number: '" + value + "'");
+        throw invalid(key, "is not a number: '" + value + "'");
     }
 }
--- a/core/src/main/java/spanrill/setup/SetupFault.java
+++ b/core/src/main/java/spanrill/setup/InvalidFieldException.java
@@ -1,7 +1,7 @@
 package spanrill.setup;
 
 /** A setting is missing or wrong; says which by its path. */
-public final class SetupFault extends RuntimeException {
+public final class InvalidFieldException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final String path;
     private final String what;
@@ -12,7 +12,7 @@
      * @param path path of the setting, as in {@code limits.max_attempts}
      * @param what what is wrong, as in "is missing"
      */
-    public SetupFault(String path, String what) {
+    public InvalidFieldException(String path, String what) {
         super("'" + path + "' " + what);
         this.path = path;
         this.what = what;
@@ -24,7 +24,7 @@
     }
 
     /** What is wrong with it. */
-    public String what() {
+    public String problem() {
         return what;
     }
 }
--- a/core/src/main/java/spanrill/setup/SetupReader.java
+++ b/core/src/main/java/spanrill/setup/SettingsReader.java
@@ -12,11 +12,11 @@
 import spanrill.SessionControl.Tenant;
 
 /** SerialExecutor the operators' settings of an instance into the module's; keys that it does not know are ignored. */
-public final class SetupReader {
-    private final Pairs pairs;
+public final class SettingsReader {
+    private final FlattenedObject pairs;
 
     /** Reads from these. */
-    public SetupReader(Pairs pairs) {
+    public SettingsReader(FlattenedObject pairs) {
         this.pairs = pairs;
     }
 
@@ -43,7 +43,7 @@
     /**
      * The module's settings.
      *
-     * @throws SetupFault naming the first setting that is missing or wrong
+     * @throws InvalidFieldException naming the first setting that is missing or wrong
      */
     public Settings settings() {
         return new Settings(
@@ -77,9 +77,9 @@
                 pairs.number("safety.cold_share"),
                 pairs.number("safety.tip_multiple"),
                 pairs.number("safety.fall"),
-                pairs.optional("safety.spare_attempts"),
-                pairs.optional("safety.resend_ratio"),
-                pairs.optional("safety.resend_span"));
+                pairs.optionalNumber("safety.spare_attempts"),
+                pairs.optionalNumber("safety.resend_ratio"),
+                pairs.optionalNumber("safety.resend_span"));
     }
 
     private List<ServiceClass> classes() {
@@ -90,7 +90,7 @@
         List<Double> seats = pairs.numbers("family_info.class_seats");
         int count = pairs.integer("classes.count");
         for (int i = 0; i < count; i++) {
-            Pairs one = pairs.at("classes." + i + ".");
+            FlattenedObject one = pairs.section("classes." + i + ".");
             classes.add(new ServiceClass(
                     one.text("name"),
                     one.number("target"),
@@ -106,9 +106,9 @@
 
     private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < pairs.count("tenants"); i++) {
-            Pairs one = pairs.at("tenants." + i + ".");
-            tenants.add(new Tenant(one.text("name"), one.number("share"), one.optional("quota_per_s")));
+        for (int i = 0; i < pairs.itemCount("tenants"); i++) {
+            FlattenedObject one = pairs.section("tenants." + i + ".");
+            tenants.add(new Tenant(one.text("name"), one.number("share"), one.optionalNumber("quota_per_s")));
         }
         return tenants;
     }
--- a/emulator/src/main/java/spanrill/emulator/Box.java
+++ b/emulator/src/main/java/spanrill/emulator/Box.java
@@ -19,7 +19,7 @@
 import spanrill.model.box.BoxProcess;
 import spanrill.model.box.BoxRules;
 import spanrill.model.link.LinkNetwork;
-import spanrill.session.BoxSide;
+import spanrill.session.BoxClient;
 
 /** One replay box: whom it sets up is decided by {@link BoxProcess}, what its sessions get by the links. */
 final class Box {
@@ -76,7 +76,7 @@
         private boolean toldShort;
 
         private Playing(
-                BoxSide.Order order,
+                BoxClient.SetUpRequest order,
                 Front front,
                 BoxProcess process,
                 Day.DayClass type,
@@ -196,9 +196,9 @@
         front.links().boxDied(this, way, open);
         front.runAfter(3 * way, () -> {
             if (!up()) {
-                front.core().boxLost(plan.id(), SessionEnd.BOX_GONE);
+                front.core().handleBoxLost(plan.id(), SessionEnd.BOX_GONE);
             } else {
-                front.core().boxLost(plan.id(), SessionEnd.BOX_RESTARTED);
+                front.core().handleBoxLost(plan.id(), SessionEnd.BOX_RESTARTED);
             }
         });
     }
@@ -264,12 +264,12 @@
         }
     }
 
-    void setUp(Front front, BoxSide.Order order, Wire wire, SetUpReply reply) {
+    void setUp(Front front, BoxClient.SetUpRequest order, Wire wire, SetUpReply reply) {
         wires.add(wire);
         heard(front.hall(), wire, () -> takeSetUp(front, order, wire, reply));
     }
 
-    private void takeSetUp(Front front, BoxSide.Order order, Wire wire, SetUpReply reply) {
+    private void takeSetUp(Front front, BoxClient.SetUpRequest order, Wire wire, SetUpReply reply) {
         double now = world.now();
         String key = order.key();
         String cls = order.request().className();
@@ -305,7 +305,7 @@
         }
     }
 
-    private void ready(Front front, BoxSide.Order order, Wire wire, SetUpReply reply, BoxProcess own) {
+    private void ready(Front front, BoxClient.SetUpRequest order, Wire wire, SetUpReply reply, BoxProcess own) {
         if (own != life) {
             return;
         }
@@ -409,7 +409,9 @@
             Front front = session.front;
             world.after(
                     world.halls().oneWayMs(hall, front.hall()),
-                    () -> front.run(session.frontLife, () -> front.core().lost(session.key, SessionEnd.BOX_ENDED)));
+                    () -> front.run(
+                            session.frontLife,
+                            () -> front.core().handleAttemptLost(session.key, SessionEnd.BOX_ENDED)));
         }
     }
 
@@ -423,7 +425,8 @@
             Front front = session.front;
             world.after(
                     world.halls().oneWayMs(hall, front.hall()),
-                    () -> front.run(session.frontLife, () -> front.core().note(plan.id(), session.key, kind, value)));
+                    () -> front.run(
+                            session.frontLife, () -> front.core().handleNote(plan.id(), session.key, kind, value)));
         });
     }
 
--- a/emulator/src/main/java/spanrill/emulator/BoxLinks.java
+++ b/emulator/src/main/java/spanrill/emulator/BoxLinks.java
@@ -12,14 +12,14 @@
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.OutcomeTable.Event;
 import spanrill.decisions.OutcomeTable.Stage;
-import spanrill.session.BoxSide;
+import spanrill.session.BoxClient;
 
 /**
  * How one life of a front reaches boxes: each message takes its way, a connection is refused where nothing
  * listens, and what is written where nobody reads waits there. What a loss amounts to is decided by the same
  * classes as on sockets.
  */
-final class BoxLinks implements BoxSide {
+final class BoxLinks implements BoxClient {
     private final World world;
     private final Front front;
     private final Set<SetUp> out = new LinkedHashSet<>();
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public Attempt setUp(Order order, AttemptListener listener) {
+    public Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener) {
         SetUp attempt = new SetUp(order, listener, world.box(order.box()));
         out.add(attempt);
         attempt.begin();
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void rung(String id, String key, int rung) {
+    public void setRung(String id, String key, int rung) {
         Box box = world.box(id);
         Box.Wire wire = new Box.Wire();
         world.after(way(box), () -> {
@@ -109,7 +109,7 @@
 
     /** One set-up on its way: the emulated twin of the one on sockets. */
     private final class SetUp implements Attempt, Box.SetUpReply {
-        private final Order order;
+        private final BoxClient.SetUpRequest order;
         private final AttemptListener listener;
         private final Box box;
         private final Box.Wire wire = new Box.Wire();
@@ -119,7 +119,7 @@
         private boolean settling;
         private boolean over;
 
-        SetUp(Order order, AttemptListener listener, Box box) {
+        SetUp(BoxClient.SetUpRequest order, AttemptListener listener, Box box) {
             this.order = order;
             this.listener = listener;
             this.box = box;
@@ -174,7 +174,7 @@
                 if (!over) {
                     over = true;
                     out.remove(this);
-                    listener.plays();
+                    listener.onPlaying();
                 }
             });
         }
@@ -210,7 +210,7 @@
             if (!over) {
                 over = true;
                 out.remove(this);
-                listener.ended(outcome, load);
+                listener.onEnded(outcome, load);
             }
         }
 
--- a/emulator/src/main/java/spanrill/emulator/Emulator.java
+++ b/emulator/src/main/java/spanrill/emulator/Emulator.java
@@ -31,7 +31,7 @@
      * @param lookMs worth is looked at so often
      * @param bound also work out the most that could be earned then
      */
-    public record Options(Path taps, SessionCore.Policy policy, double lookMs, boolean bound) {}
+    public record Options(Path taps, SessionCore.ModuleFactory policy, double lookMs, boolean bound) {}
 
     private static final double LOOK_MS = 1000;
 
--- a/emulator/src/main/java/spanrill/emulator/Front.java
+++ b/emulator/src/main/java/spanrill/emulator/Front.java
@@ -23,13 +23,13 @@
  */
 final class Front {
     /** A token as the disk has it. */
-    private record Kept(SpentTokenStore.Fate fate, double expiresAt) {}
+    private record Kept(SpentTokenStore.TokenState fate, double expiresAt) {}
 
     private final World world;
     private final int number;
     private final int hall;
     private final CoreSettings settings;
-    private final SessionCore.Policy policy;
+    private final SessionCore.ModuleFactory policy;
     private final Map<String, Kept> disk = new HashMap<>();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private final Set<Runnable> connections = new LinkedHashSet<>();
@@ -41,7 +41,7 @@
     private int life;
     private long names;
 
-    Front(World world, int number, CoreSettings settings, SessionCore.Policy policy) {
+    Front(World world, int number, CoreSettings settings, SessionCore.ModuleFactory policy) {
         this.world = world;
         this.number = number;
         this.settings = settings;
@@ -92,11 +92,11 @@
         double now = world.now();
         disk.forEach((token, kept) -> {
             if (kept.expiresAt() > now) {
-                core.restore(token, kept.fate() == SpentTokenStore.Fate.USED, kept.expiresAt());
+                core.restoreToken(token, kept.fate() == SpentTokenStore.TokenState.USED, kept.expiresAt());
             }
         });
         world.tap().put(new TapEvent.FrontUp(now, number));
-        core.begin(links);
+        core.start(links);
         world.registry().frontStarts(this);
     }
 
@@ -129,7 +129,7 @@
     /** A sign of life of a session's player; a front that stands still sees none. */
     void seen(Session session) {
         if (up && !stalled) {
-            core.seen(session);
+            core.recordActivity(session);
         }
     }
 
@@ -189,7 +189,7 @@
         }
 
         @Override
-        public Timer after(double ms, Runnable action) {
+        public Timer schedule(double ms, Runnable action) {
             int ofLife = life;
             boolean[] cancelled = {false};
             VirtualTimeScheduler.Entry entry = world.after(
@@ -209,13 +209,13 @@
     /** The disk: what was acknowledged is there in the next life. */
     private final class Disk implements SpentTokenStore {
         @Override
-        public void taken(String tokenId, double expiresAt, Consumer<Boolean> then) {
-            disk.put(tokenId, new Kept(Fate.TAKEN, expiresAt));
+        public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then) {
+            disk.put(tokenId, new Kept(SpentTokenStore.TokenState.TAKEN, expiresAt));
             runAfter(world.costs().diskMs(), () -> then.accept(true));
         }
 
         @Override
-        public void over(String tokenId, Fate fate) {
+        public void recordState(String tokenId, SpentTokenStore.TokenState fate) {
             if (fate == null) {
                 disk.remove(tokenId);
             } else {
--- a/emulator/src/main/java/spanrill/emulator/Policies.java
+++ b/emulator/src/main/java/spanrill/emulator/Policies.java
@@ -18,7 +18,7 @@
      *
      * @throws IllegalArgumentException with the names there are
      */
-    public static SessionCore.Policy of(String name) {
+    public static SessionCore.ModuleFactory of(String name) {
         if (name.equals("module")) {
             return Control::new;
         }
--- a/emulator/src/main/java/spanrill/emulator/Registry.java
+++ b/emulator/src/main/java/spanrill/emulator/Registry.java
@@ -66,8 +66,8 @@
         view.polls = false;
         view.news.clear();
         if (view.kept != null) {
-            front.core().titles(titles);
-            front.core().servers(ListKind.KEPT, view.kept);
+            front.core().updateCatalogue(titles);
+            front.core().updateServers(ListKind.KEPT, view.kept);
         }
         world.after(WAY_MS, () -> {
             if (front.up() && view.life == front.life()) {
@@ -92,9 +92,9 @@
         front.runAfter(WAY_MS, () -> {
             if (kind == ListKind.WHOLE) {
                 view.kept = servers;
-                front.core().titles(titles);
+                front.core().updateCatalogue(titles);
             }
-            front.core().servers(kind, servers);
+            front.core().updateServers(kind, servers);
             front.runAfter(WAY_MS, () -> poll(front, view));
         });
     }
--- a/emulator/src/main/java/spanrill/emulator/Relay.java
+++ b/emulator/src/main/java/spanrill/emulator/Relay.java
@@ -76,7 +76,7 @@
         if (over) {
             return;
         }
-        session = front.core().session(id);
+        session = front.core().findSession(id);
         if (session == null) {
             end(404, null);
             return;
@@ -88,13 +88,13 @@
             return;
         }
         if (phase != Phase.PLAYING) {
-            SessionEnd why = session.end();
+            SessionEnd why = session.endReason();
             end(why != null && why.retryAdvice() == SessionEnd.RetryAdvice.RETRY_LATER ? 503 : 410, why);
             return;
         }
         rung = RungLimiter.effectiveRung(asked, session.rung(), session.type().floor());
         bytes = length.applyAsLong(rung);
-        key = session.key();
+        key = session.attemptKey();
         tries++;
         box = world.box(session.box());
         world.after(front.links().way(box), this::atBox);
@@ -167,7 +167,7 @@
             }
             SegmentRetryPolicy.Decision choice = SegmentRetryPolicy.decide(started, status, tries);
             if (choice.sessionLost()) {
-                front.core().lost(key, SessionEnd.BOX_FORGOT);
+                front.core().handleAttemptLost(key, SessionEnd.BOX_FORGOT);
             }
             switch (choice.action()) {
                 case ABORT -> end(0, null);
--- a/emulator/src/main/java/spanrill/emulator/Viewer.java
+++ b/emulator/src/main/java/spanrill/emulator/Viewer.java
@@ -217,7 +217,7 @@
                             if (!closed) {
                                 offered = true;
                                 at.core()
-                                        .offer(
+                                        .requestSession(
                                                 new ViewerRequest(
                                                         token,
                                                         arrivedAt,
@@ -246,7 +246,7 @@
                     way,
                     () -> at.run(life, () -> {
                         if (offered && !answered) {
-                            at.core().left(this);
+                            at.core().cancelCall(this);
                         }
                     }));
         }
@@ -280,7 +280,7 @@
         }
 
         @Override
-        public void plays(Session given) {
+        public void onPlaying(Session given) {
             List<Long> ladder = ladder(given);
             answer(200, "plays", () -> {
                 world.figures().setUp(now() - askedAt);
@@ -307,20 +307,20 @@
         }
 
         @Override
-        public void refused(double retryAfterMs) {
+        public void onRefused(double retryAfterMs) {
             // Retry-After knows whole seconds.
             double told = retryAfterMs > 0 ? Math.ceil(retryAfterMs / 1000) * 1000 : 0;
             answer(503, "refused", () -> follow(player.refused(now(), told), "refused"));
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             answer(502, "failed", () -> over("failed"));
         }
 
         @Override
-        public void unusable(Unusable why) {
-            answer(why == Unusable.USED ? 403 : 503, "none", () -> over("not taken"));
+        public void onUnusable(ViewerCall.UnusableReason why) {
+            answer(why == ViewerCall.UnusableReason.USED ? 403 : 503, "none", () -> over("not taken"));
         }
     }
 
@@ -365,9 +365,9 @@
         world.after(
                 way(),
                 () -> at.run(frontLife, () -> {
-                    Session known = at.core().session(ended);
+                    Session known = at.core().findSession(ended);
                     if (known != null && known.inPlay()) {
-                        at.core().finish(known);
+                        at.core().endSession(known);
                     }
                 }));
         if (lostPatience) {
--- a/emulator/src/main/java/spanrill/emulator/World.java
+++ b/emulator/src/main/java/spanrill/emulator/World.java
@@ -40,7 +40,7 @@
     private final Figures figures = new Figures();
     private WorthMeter worth;
 
-    World(Day day, long seed, Tap tap, Costs costs, SessionCore.Policy policy) {
+    World(Day day, long seed, Tap tap, Costs costs, SessionCore.ModuleFactory policy) {
         this.day = day;
         this.tap = tap;
         this.costs = costs;
@@ -144,11 +144,11 @@
     }
 
     long events() {
-        return agenda.ran();
+        return agenda.executedCount();
     }
 
     VirtualTimeScheduler.Entry after(double ms, Runnable action) {
-        return agenda.after(ms, action);
+        return agenda.schedule(ms, action);
     }
 
     private void every(double ms, Runnable action) {
--- a/front/src/main/java/spanrill/front/FrontDaemon.java
+++ b/front/src/main/java/spanrill/front/FrontDaemon.java
@@ -66,7 +66,7 @@
         core.onReady(() -> ready.complete(null));
         tokens.kept().forEach((token, kept) -> {
             if (kept.expiresAt() > clock.now()) {
-                core.restore(token, kept.fate() == SpentTokenStore.Fate.USED, kept.expiresAt());
+                core.restoreToken(token, kept.fate() == SpentTokenStore.TokenState.USED, kept.expiresAt());
             }
         });
         gate = new TokenGate(
@@ -76,7 +76,7 @@
         list = new ListClient(settings, loop, core, book, new KeptList(base.resolve(settings.state())), disk);
         DashViewerSide viewers = new DashViewerSide(settings, core, boxes, gate, clock);
         loop.submit(() -> {
-                    core.begin(boxes);
+                    core.start(boxes);
                     list.start();
                 })
                 .syncUninterruptibly();
@@ -158,7 +158,7 @@
 
     /** Sessions held now; may be asked from any thread. */
     public int sessions() {
-        return group.next().submit(core::size).syncUninterruptibly().getNow();
+        return group.next().submit(core::sessionCount).syncUninterruptibly().getNow();
     }
 
     /** Stops at once: what is under way is lost, as when the process is killed. */
--- a/front/src/main/java/spanrill/front/box/HttpBoxSide.java
+++ b/front/src/main/java/spanrill/front/box/HttpBoxSide.java
@@ -15,7 +15,7 @@
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.PoolPolicy;
 import spanrill.front.FrontSettings;
-import spanrill.session.BoxSide;
+import spanrill.session.BoxClient;
 import spanrill.session.SessionCore;
 import spanrill.wire.box.BoxLink;
 import spanrill.wire.http.Headers;
@@ -23,7 +23,7 @@
 import spanrill.wire.http.ResponseHead;
 
 /** Reaches boxes over HTTP/1.1. */
-public final class HttpBoxSide implements BoxSide, SegmentSource {
+public final class HttpBoxSide implements BoxClient, SegmentSource {
     /**
      * A release or rung that isn't answered within this time is given up: the box ends idle sessions
      * itself.
@@ -80,10 +80,10 @@
     }
 
     @Override
-    public Attempt setUp(Order order, AttemptListener listener) {
+    public Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener) {
         BoxPool pool = pool(order.box());
         if (pool == null) {
-            listener.ended(Outcome.CONNECT_FAILED, null);
+            listener.onEnded(Outcome.CONNECT_FAILED, null);
             return why -> Outcome.CONNECT_FAILED;
         }
         if (settings.notes().tellMs() > 0 && !notes.containsKey(order.box())) {
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public void rung(String box, String key, int rung) {
+    public void setRung(String box, String key, int rung) {
         control(box, "POST", BoxLink.ATTEMPT_PATH_PREFIX + key + "/rung?to=" + rung, load -> {});
     }
 
--- a/front/src/main/java/spanrill/front/box/NotesStream.java
+++ b/front/src/main/java/spanrill/front/box/NotesStream.java
@@ -59,8 +59,8 @@
                     }
                 },
                 cause -> {
-                    core.boxLost(box, SessionEnd.BOX_GONE);
-                    follow(watch.onUnreachable(core.anyAt(box)));
+                    core.handleBoxLost(box, SessionEnd.BOX_GONE);
+                    follow(watch.onUnreachable(core.hasSessionsAt(box)));
                 });
     }
 
@@ -127,13 +127,13 @@
             case HELLO -> {
                 SessionEnd lost = watch.onHello(note.value());
                 if (lost != null) {
-                    core.boxLost(box, lost);
+                    core.handleBoxLost(box, lost);
                 }
             }
-            case OVER -> core.lost(note.attempt(), SessionEnd.BOX_ENDED);
-            case DELIVERED -> core.note(box, note.attempt(), NoteKind.DELIVERED, note.value());
-            case LINK -> core.note(box, note.attempt(), NoteKind.LINK_USE, note.value());
-            default -> core.note(box, note.attempt(), NoteKind.UPLINK_USE, note.value());
+            case OVER -> core.handleAttemptLost(note.attempt(), SessionEnd.BOX_ENDED);
+            case DELIVERED -> core.handleNote(box, note.attempt(), NoteKind.DELIVERED, note.value());
+            case LINK -> core.handleNote(box, note.attempt(), NoteKind.LINK_USE, note.value());
+            default -> core.handleNote(box, note.attempt(), NoteKind.UPLINK_USE, note.value());
         }
     }
 
@@ -145,6 +145,6 @@
     @Override
     public void onFailure(HttpClientConnection.Failure loss, String reason) {
         line.reset();
-        follow(watch.onStreamBroken(core.anyAt(box)));
+        follow(watch.onStreamBroken(core.hasSessionsAt(box)));
     }
 }
--- a/front/src/main/java/spanrill/front/box/SetUpAttempt.java
+++ b/front/src/main/java/spanrill/front/box/SetUpAttempt.java
@@ -7,20 +7,20 @@
 import spanrill.decisions.OutcomeTable;
 import spanrill.decisions.OutcomeTable.Event;
 import spanrill.decisions.OutcomeTable.Stage;
-import spanrill.session.BoxSide;
+import spanrill.session.BoxClient;
 import spanrill.wire.box.BoxLink;
 import spanrill.wire.http.Headers;
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.ResponseHead;
 
 /** One set-up on the wire: follows how far it came, and reads its end by {@link OutcomeTable}. */
-final class SetUpAttempt implements BoxSide.Attempt, BoxPool.Taker, HttpClientConnection.Listener {
+final class SetUpAttempt implements BoxClient.Attempt, BoxPool.Taker, HttpClientConnection.Listener {
     private static final byte[] NO_BODY = {};
 
     private final HttpBoxSide side;
-    private final BoxSide.Order order;
+    private final BoxClient.SetUpRequest order;
     private final BoxPool pool;
-    private final BoxSide.AttemptListener listener;
+    private final BoxClient.AttemptListener listener;
     private HttpClientConnection connection;
     private Stage stage = Stage.CONNECTING;
     private Load load;
@@ -29,7 +29,7 @@
     private boolean settling;
     private boolean over;
 
-    SetUpAttempt(HttpBoxSide side, BoxSide.Order order, BoxPool pool, BoxSide.AttemptListener listener) {
+    SetUpAttempt(HttpBoxSide side, BoxClient.SetUpRequest order, BoxPool pool, BoxClient.AttemptListener listener) {
         this.side = side;
         this.order = order;
         this.pool = pool;
@@ -80,7 +80,7 @@
     public void onData(ByteBuf part) {
         if (refusal == null && !over) {
             over = true;
-            listener.plays();
+            listener.onPlaying();
         }
     }
 
@@ -126,7 +126,7 @@
     private void ended(Outcome outcome) {
         if (!over) {
             over = true;
-            listener.ended(outcome, load);
+            listener.onEnded(outcome, load);
         }
     }
 
--- a/front/src/main/java/spanrill/front/dash/DashViewerSide.java
+++ b/front/src/main/java/spanrill/front/dash/DashViewerSide.java
@@ -100,7 +100,7 @@
         FrontSettings.ClassSettings type = settings.classes().get(claimed);
         double deadline = type == null
                 ? arrivedAt + SHORTEST_MS
-                : types.get(claimed).time().deadline(arrivedAt);
+                : types.get(claimed).answerTime().deadline(arrivedAt);
         Runnable leave = gate.verify(
                 new TokenGate.Wish(text, title, (long) (arrivedAt / 1000), deadline, type == null ? 0 : type.worth()),
                 exchange.channel().eventLoop(),
@@ -133,8 +133,8 @@
         String tenant =
                 token.tenant() != null && settings.tenants().containsKey(token.tenant()) ? token.tenant() : null;
         ManifestCall call = new ManifestCall(settings, exchange);
-        exchange.onClosed(() -> core.left(call));
-        core.offer(
+        exchange.onClosed(() -> core.cancelCall(call));
+        core.requestSession(
                 new ViewerRequest(
                         token.id(),
                         arrivedAt,
@@ -156,7 +156,7 @@
     }
 
     private void segment(Exchange exchange, Matcher path) {
-        Session session = core.session(path.group(1));
+        Session session = core.findSession(path.group(1));
         if (session == null) {
             Problem.answer(exchange, 404, "no-session", "none", "There is no such session.", 0);
             return;
@@ -171,15 +171,15 @@
     }
 
     private void session(Exchange exchange, String id, boolean manifest) {
-        Session session = core.session(id);
+        Session session = core.findSession(id);
         if (session == null) {
             Problem.answer(exchange, 404, "no-session", "none", "There is no such session.", 0);
         } else if (!session.inPlay()) {
-            Problem.over(exchange, 410, "session-over", "The session is not in play.", session.end(), 0);
+            Problem.over(exchange, 410, "session-over", "The session is not in play.", session.endReason(), 0);
         } else if (manifest) {
             ManifestCall.manifest(settings, exchange, session, "none");
         } else {
-            core.finish(session);
+            core.endSession(session);
             exchange.respond(204, new Headers(), new byte[0]);
         }
     }
--- a/front/src/main/java/spanrill/front/dash/ManifestCall.java
+++ b/front/src/main/java/spanrill/front/dash/ManifestCall.java
@@ -28,12 +28,12 @@
     }
 
     @Override
-    public void plays(Session session) {
+    public void onPlaying(Session session) {
         manifest(settings, exchange, session, "plays");
     }
 
     @Override
-    public void refused(double retryAfterMs) {
+    public void onRefused(double retryAfterMs) {
         Problem.answer(
                 exchange,
                 503,
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         Problem.answer(
                 exchange,
                 502,
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void unusable(Unusable why) {
+    public void onUnusable(ViewerCall.UnusableReason why) {
         switch (why) {
             case USED -> Problem.answer(exchange, 403, "token-used", "none", "The session of this token is over.", 0);
             case NO_ROOM -> Problem.answer(exchange, 503, "no-room", "none", "Too many sessions; come later.", 1000);
--- a/front/src/main/java/spanrill/front/dash/Relay.java
+++ b/front/src/main/java/spanrill/front/dash/Relay.java
@@ -48,7 +48,7 @@
         if (exchange.isEnded()) {
             return;
         }
-        core.seen(session);
+        core.recordActivity(session);
         Phase phase = session.phase();
         if (phase == Phase.MOVING || phase == Phase.MOVING_SET_UP) {
             session.onChange(this::run);
@@ -73,7 +73,7 @@
                 return;
             }
         }
-        key = session.key();
+        key = session.attemptKey();
         tries++;
         String path = asked == NO_RUNG ? name : rung + "/" + name;
         segment = boxes.fetch(session.box(), key, path, range(), this);
@@ -91,7 +91,7 @@
             text = request == null ? status : status == null ? request : request + "," + status;
         }
         if (text != null) {
-            core.told(session, Cmcd.parse(text).starved());
+            core.recordPlayerReport(session, Cmcd.parse(text).starved());
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     private void over() {
-        SessionEnd end = session.end();
+        SessionEnd end = session.endReason();
         if (end != null && end.retryAdvice() == SessionEnd.RetryAdvice.RETRY_LATER) {
             Problem.over(
                     exchange, 503, "move-refused", "No box can go on with this session.", end, session.retryAfterMs());
@@ -131,7 +131,7 @@
 
     @Override
     public void data(ByteBuf part) {
-        core.seen(session);
+        core.recordActivity(session);
         exchange.write(part.retain());
         if (!exchange.isWritable()) {
             reading(false);
@@ -147,7 +147,7 @@
     @Override
     public void end() {
         segment = null;
-        core.seen(session);
+        core.recordActivity(session);
         exchange.end();
     }
 
@@ -159,7 +159,7 @@
         }
         SegmentRetryPolicy.Decision choice = SegmentRetryPolicy.decide(exchange.isStarted(), status, tries);
         if (choice.sessionLost()) {
-            core.lost(key, SessionEnd.BOX_FORGOT);
+            core.handleAttemptLost(key, SessionEnd.BOX_FORGOT);
         }
         switch (choice.action()) {
             case ABORT -> exchange.abort();
--- a/front/src/main/java/spanrill/front/list/ListClient.java
+++ b/front/src/main/java/spanrill/front/list/ListClient.java
@@ -160,10 +160,10 @@
             return false;
         }
         if (document.titles() != null) {
-            core.titles(document.titles());
+            core.updateCatalogue(document.titles());
         }
         EventLog.info("list", "kind", sheet.kind(), "version", sheet.version(), "boxes", told.size());
-        core.servers(sheet.kind(), told);
+        core.updateServers(sheet.kind(), told);
         return true;
     }
 
@@ -186,7 +186,7 @@
             return;
         }
         EventLog.warn("list.failed", "reason", reason);
-        core.servers(ListKind.FAILED, List.of());
+        core.updateServers(ListKind.FAILED, List.of());
         loop.schedule(this::poll, (long) backoff.nextDelayMs(), TimeUnit.MILLISECONDS);
     }
 
--- a/front/src/main/java/spanrill/front/store/TokenStore.java
+++ b/front/src/main/java/spanrill/front/store/TokenStore.java
@@ -29,9 +29,9 @@
     private static final double SLOW_MS = 100;
 
     /** A token as it was found at the start. */
-    public record Kept(Fate fate, double expiresAt) {}
+    public record Kept(SpentTokenStore.TokenState fate, double expiresAt) {}
 
-    private record Change(String token, Fate fate, double expiresAt, Consumer<Boolean> then) {}
+    private record Change(String token, SpentTokenStore.TokenState fate, double expiresAt, Consumer<Boolean> then) {}
 
     private final MVStore store;
     private final MVMap<String, String> tokens;
@@ -77,20 +77,22 @@
             int space = text.indexOf(' ');
             kept.put(
                     token,
-                    new Kept(Fate.valueOf(text.substring(0, space)), Double.parseDouble(text.substring(space + 1))));
+                    new Kept(
+                            SpentTokenStore.TokenState.valueOf(text.substring(0, space)),
+                            Double.parseDouble(text.substring(space + 1))));
         });
         return kept;
     }
 
     @Override
-    public void taken(String tokenId, double expiresAt, Consumer<Boolean> then) {
-        if (closed || !queue.offer(new Change(tokenId, Fate.TAKEN, expiresAt, then))) {
+    public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then) {
+        if (closed || !queue.offer(new Change(tokenId, SpentTokenStore.TokenState.TAKEN, expiresAt, then))) {
             then.accept(false);
         }
     }
 
     @Override
-    public void over(String tokenId, Fate fate) {
+    public void recordState(String tokenId, SpentTokenStore.TokenState fate) {
         // One that is dropped stays TAKEN: read as failed after a kill, which is safe.
         queue.offer(new Change(tokenId, fate, Double.NaN, null));
     }
@@ -141,8 +143,8 @@
     private void apply(Change change) {
         if (change.fate() == null) {
             tokens.remove(change.token());
-        } else if (change.fate() == Fate.TAKEN) {
-            tokens.put(change.token(), Fate.TAKEN + " " + change.expiresAt());
+        } else if (change.fate() == SpentTokenStore.TokenState.TAKEN) {
+            tokens.put(change.token(), SpentTokenStore.TokenState.TAKEN + " " + change.expiresAt());
         } else {
             tokens.computeIfPresent(change.token(), (token, text) -> change.fate() + text.substring(text.indexOf(' ')));
         }
--- a/front/src/test/java/spanrill/front/TokenStoreTest.java
+++ b/front/src/test/java/spanrill/front/TokenStoreTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import spanrill.front.store.TokenStore;
-import spanrill.session.SpentTokenStore.Fate;
+import spanrill.session.SpentTokenStore;
 
 class TokenStoreTest {
     private static final double LATER = 4e12;
@@ -26,7 +26,7 @@
     private static void take(TokenStore store, String... tokens) throws InterruptedException {
         CountDownLatch safe = new CountDownLatch(tokens.length);
         for (String token : tokens) {
-            store.taken(token, LATER, ok -> {
+            store.recordTaken(token, LATER, ok -> {
                 if (ok) {
                     safe.countDown();
                 }
@@ -47,13 +47,13 @@
     void whatWasAcknowledgedSurvivesAKill() throws Exception {
         try (TokenStore store = TokenStore.open(folder, Runnable::run)) {
             take(store, "a", "b", "c", "d");
-            store.over("b", Fate.USED);
-            store.over("c", null);
+            store.recordState("b", SpentTokenStore.TokenState.USED);
+            store.recordState("c", null);
             take(store, "e");
             try (TokenStore copy = TokenStore.open(copy("killed"), Runnable::run)) {
                 Map<String, TokenStore.Kept> kept = copy.kept();
-                assertEquals(new TokenStore.Kept(Fate.TAKEN, LATER), kept.get("a"));
-                assertEquals(Fate.USED, kept.get("b").fate());
+                assertEquals(new TokenStore.Kept(SpentTokenStore.TokenState.TAKEN, LATER), kept.get("a"));
+                assertEquals(SpentTokenStore.TokenState.USED, kept.get("b").fate());
                 assertTrue(!kept.containsKey("c"));
                 assertEquals(4, kept.size());
             }
@@ -67,7 +67,7 @@
             CountDownLatch all = new CountDownLatch(5000);
             long begin = System.nanoTime();
             for (int i = 0; i < 5000; i++) {
-                store.taken("t" + i, LATER, ok -> {
+                store.recordTaken("t" + i, LATER, ok -> {
                     safe.addAndGet(ok ? 1 : 0);
                     all.countDown();
                 });
@@ -93,7 +93,7 @@
             Path at = Files.createDirectories(folder.resolve("cut" + cut));
             Files.write(at.resolve("tokens.mv"), Arrays.copyOf(whole, cut));
             try (TokenStore store = TokenStore.open(at, Runnable::run)) {
-                TokenStore.Kept taken = new TokenStore.Kept(Fate.TAKEN, LATER);
+                TokenStore.Kept taken = new TokenStore.Kept(SpentTokenStore.TokenState.TAKEN, LATER);
                 store.kept().values().forEach(kept -> assertEquals(taken, kept));
                 opened++;
             } catch (IOException told) {
@@ -116,7 +116,7 @@
         TokenStore store = TokenStore.open(folder, Runnable::run);
         store.close();
         int[] safe = {-1};
-        store.taken("a", LATER, ok -> safe[0] = ok ? 1 : 0);
+        store.recordTaken("a", LATER, ok -> safe[0] = ok ? 1 : 0);
         assertEquals(0, safe[0]);
     }
 }
--- a/loop/src/main/java/spanrill/loop/EventLoopScheduler.java
+++ b/loop/src/main/java/spanrill/loop/EventLoopScheduler.java
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public Timer after(double ms, Runnable action) {
+    public Timer schedule(double ms, Runnable action) {
         ScheduledFuture<?> set = loop.schedule(action, (long) Math.ceil(Math.max(0, ms) * 1000), TimeUnit.MICROSECONDS);
         return () -> set.cancel(false);
     }
--- a/node/src/main/java/spanrill/node/Main.java
+++ b/node/src/main/java/spanrill/node/Main.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
 import spanrill.node.config.NodeConfig;
-import spanrill.setup.SetupFault;
+import spanrill.setup.InvalidFieldException;
 
 /** Entry point of the front node; its configuration is the file that {@code EDGE_CONFIG} names. */
 public final class Main {
@@ -31,7 +31,7 @@
             FrontNode node = FrontNode.prepare(config, log, Trace.open(config.name()), () -> warmUp(config, log));
             running.set(node);
             node.listen();
-        } catch (SetupFault fault) {
+        } catch (InvalidFieldException fault) {
             System.err.println("spanrill node: " + file + ": " + fault.getMessage());
             System.exit(WRONG_SETUP);
         } catch (IOException e) {
@@ -89,7 +89,7 @@
         try {
             node.reconfigure(NodeConfig.read(Path.of(file)));
             log.info("config.loaded", "file", file);
-        } catch (SetupFault | IOException e) {
+        } catch (InvalidFieldException | IOException e) {
             log.error("config.unusable", null, "file", file, "reason", e.getMessage());
         }
     }
--- a/node/src/main/java/spanrill/node/WarmUp.java
+++ b/node/src/main/java/spanrill/node/WarmUp.java
@@ -73,7 +73,7 @@
         }
         for (int i = 0; i < sessions; i++) {
             int number = i;
-            time.after(i * GAP_MS, () -> ask(number));
+            time.schedule(i * GAP_MS, () -> ask(number));
         }
         while (asked < sessions && time.now() < sessions * GAP_MS && System.nanoTime() < until) {
             time.runUntil(time.now() + GAP_MS);
@@ -120,7 +120,7 @@
         public void setUp(Attempt attempt) {
             Message message = through(new Message(MessageType.SET_UP, attempt.session())
                     .with(Parameter.DESCRIPTION, attempt.setUp().description()));
-            time.after(ANSWER_MS, () -> {
+            time.schedule(ANSWER_MS, () -> {
                 if (attempt.session() % 40 == 0) {
                     host.ended(attempt, Outcome.FULL, null);
                     return;
@@ -128,7 +128,7 @@
                 host.answered(attempt, message.get(Parameter.DESCRIPTION));
                 host.note(attempt.server(), attempt.session(), NoteKind.LINK_USE, 0.5);
                 host.note(attempt.server(), attempt.session(), NoteKind.UPLINK_USE, 0.6);
-                time.after(LASTS_MS, () -> host.over(attempt.server(), attempt.session(), Outcome.OK, null));
+                time.schedule(LASTS_MS, () -> host.over(attempt.server(), attempt.session(), Outcome.OK, null));
             });
         }
 
--- a/node/src/main/java/spanrill/node/client/ClientListener.java
+++ b/node/src/main/java/spanrill/node/client/ClientListener.java
@@ -167,13 +167,13 @@
     }
 
     void came(ClientConnection on, Message message) {
-        if (trace.keeps()) {
+        if (trace.isEnabled()) {
             trace.info("came", "on", on, "type", message.type(), "id", hex(message.session()));
         }
     }
 
     void sent(ClientConnection on, long session, int cause) {
-        if (trace.keeps()) {
+        if (trace.isEnabled()) {
             trace.info("released", "on", on, "id", hex(session), "cause", cause);
         }
     }
@@ -184,7 +184,7 @@
 
     void closed(ClosedConnection closed) {
         EventSink sink = closed.notable() ? log : trace;
-        if (sink.keeps()) {
+        if (sink.isEnabled()) {
             sink.info(
                     "conn.close",
                     "conn",
@@ -205,7 +205,7 @@
     }
 
     void rejected(ClientConnection on, long session, String why) {
-        if (trace.keeps()) {
+        if (trace.isEnabled()) {
             trace.info("request.reject", "conn", on, "id", hex(session), "reason", why);
         }
     }
--- a/node/src/main/java/spanrill/node/config/JsonPairs.java
+++ b/node/src/main/java/spanrill/node/config/JsonPairs.java
@@ -7,10 +7,10 @@
 import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import spanrill.setup.Pairs;
-import spanrill.setup.SetupFault;
+import spanrill.setup.FlattenedObject;
+import spanrill.setup.InvalidFieldException;
 
-/** JSON as values by path, in the form of {@link Pairs}. Depth, names, texts and values are bounded. */
+/** JSON as values by path, in the form of {@link FlattenedObject}. Depth, names, texts and values are bounded. */
 public final class JsonPairs {
     private static final int MOST_DEPTH = 16;
     private static final int MOST_VALUES = 200_000;
@@ -30,28 +30,28 @@
     /**
      * Reads one object.
      *
-     * @throws SetupFault when it is no JSON object, naming the path at which reading stopped
+     * @throws InvalidFieldException when it is no JSON object, naming the path at which reading stopped
      */
-    public static Pairs read(byte[] json) {
+    public static FlattenedObject read(byte[] json) {
         JsonPairs reader = new JsonPairs();
         String at = "";
         try (JsonParser parser = FACTORY.createParser(json)) {
             try {
                 if (parser.nextToken() != JsonToken.START_OBJECT) {
-                    throw new SetupFault("(whole)", "is no JSON object");
+                    throw new InvalidFieldException("(whole)", "is no JSON object");
                 }
                 reader.object(parser, "");
                 if (parser.nextToken() != null) {
-                    throw new SetupFault("(whole)", "goes on after its object");
+                    throw new InvalidFieldException("(whole)", "goes on after its object");
                 }
             } catch (IOException e) {
                 at = parser.getParsingContext().pathAsPointer().toString();
-                throw new SetupFault(at.isEmpty() ? "(whole)" : at, "is no JSON: " + firstLine(e));
+                throw new InvalidFieldException(at.isEmpty() ? "(whole)" : at, "is no JSON: " + firstLine(e));
             }
         } catch (IOException e) {
-            throw new SetupFault("(whole)", "can't be read: " + firstLine(e));
+            throw new InvalidFieldException("(whole)", "can't be read: " + firstLine(e));
         }
-        return new Pairs(reader.values);
+        return new FlattenedObject(reader.values);
     }
 
     private static String firstLine(IOException e) {
@@ -83,13 +83,13 @@
             if (token == JsonToken.START_OBJECT) {
                 object(parser, path + "." + objects++ + ".");
             } else if (token == JsonToken.START_ARRAY) {
-                throw new SetupFault(path, "is a list of lists");
+                throw new InvalidFieldException(path, "is a list of lists");
             } else {
                 plain.append(scalars++ == 0 ? "" : ",").append(parser.getText());
             }
         }
         if (objects > 0 && scalars > 0) {
-            throw new SetupFault(path, "mixes plain values and objects");
+            throw new InvalidFieldException(path, "mixes plain values and objects");
         }
         if (scalars > 0) {
             put(path, plain.toString());
@@ -100,7 +100,7 @@
 
     private void put(String path, String value) {
         if (values.size() >= MOST_VALUES) {
-            throw new SetupFault(path, "is one value too many");
+            throw new InvalidFieldException(path, "is one value too many");
         }
         values.put(path, value);
     }
--- a/node/src/main/java/spanrill/node/config/NodeConfig.java
+++ b/node/src/main/java/spanrill/node/config/NodeConfig.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import spanrill.SessionControl.Settings;
-import spanrill.setup.Pairs;
-import spanrill.setup.SetupFault;
-import spanrill.setup.SetupReader;
+import spanrill.setup.FlattenedObject;
+import spanrill.setup.InvalidFieldException;
+import spanrill.setup.SettingsReader;
 
 /**
  * What a front node is told at its start.
@@ -50,29 +50,29 @@
      * Reads a configuration file.
      *
      * @throws IOException when it can't be read
-     * @throws SetupFault naming the first field that is missing or wrong
+     * @throws InvalidFieldException naming the first field that is missing or wrong
      */
     public static NodeConfig read(Path file) throws IOException {
         if (Files.size(file) > MOST_BYTES) {
-            throw new SetupFault("(whole)", "has more than " + MOST_BYTES + " bytes");
+            throw new InvalidFieldException("(whole)", "has more than " + MOST_BYTES + " bytes");
         }
         return of(JsonPairs.read(Files.readAllBytes(file)));
     }
 
-    static NodeConfig of(Pairs pairs) {
+    static NodeConfig of(FlattenedObject pairs) {
         List<ServerListUpdate> known = new ArrayList<>();
-        for (int i = 0; i < pairs.count("known.items"); i++) {
-            known.add(ServerListUpdate.of(pairs.at("known.items." + i + ".")));
+        for (int i = 0; i < pairs.itemCount("known.items"); i++) {
+            known.add(ServerListUpdate.of(pairs.section("known.items." + i + ".")));
         }
         long last = known.isEmpty() ? 0 : known.get(known.size() - 1).no();
-        Pairs settings = pairs.at("settings.");
+        FlattenedObject settings = pairs.section("settings.");
         double deadline = 0;
-        for (int i = 0; i < settings.count("classes"); i++) {
+        for (int i = 0; i < settings.itemCount("classes"); i++) {
             deadline = Math.max(deadline, settings.number("classes." + i + ".hard_limit"));
         }
         int sockets = pairs.integer("limits.sockets");
         if (sockets < 64) {
-            throw pairs.fault("limits.sockets", "leaves no room: at least 64 are needed");
+            throw pairs.invalid("limits.sockets", "leaves no room: at least 64 are needed");
         }
         boolean retryAfter = allows(settings, "limits.retry_after");
         return new NodeConfig(
@@ -83,7 +83,7 @@
                 ServerListUpdate.address(pairs, "bulletin"),
                 pairs.has("known.no") ? (long) pairs.number("known.no") : last,
                 known,
-                new SetupReader(settings).settings(),
+                new SettingsReader(settings).settings(),
                 settings.number("limits.connect_timeout"),
                 settings.number("limits.conn_idle"),
                 maxStreams(settings),
@@ -93,27 +93,27 @@
     }
 
     /** What the settings don't speak of is allowed. */
-    private static boolean allows(Pairs settings, String key) {
+    private static boolean allows(FlattenedObject settings, String key) {
         return !settings.has(key) || settings.text(key).equals("true");
     }
 
-    private static int maxStreams(Pairs settings) {
+    private static int maxStreams(FlattenedObject settings) {
         if (!settings.has("limits.max_streams")) {
             return Integer.MAX_VALUE;
         }
         int most = settings.integer("limits.max_streams");
         if (most < 1) {
-            throw settings.fault("limits.max_streams", "lets no set-up through: at least 1 is needed");
+            throw settings.invalid("limits.max_streams", "lets no set-up through: at least 1 is needed");
         }
         return most;
     }
 
-    private static long seed(Pairs pairs) {
+    private static long seed(FlattenedObject pairs) {
         String text = pairs.text("seed");
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw pairs.fault("seed", "is no hex number of 64 bits: '" + text + "'");
+            throw pairs.invalid("seed", "is no hex number of 64 bits: '" + text + "'");
         }
     }
 }
--- a/node/src/main/java/spanrill/node/config/ServerListUpdate.java
+++ b/node/src/main/java/spanrill/node/config/ServerListUpdate.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import spanrill.SessionControl.Server;
 import spanrill.SessionControl.ServerState;
-import spanrill.setup.Pairs;
-import spanrill.setup.SetupFault;
+import spanrill.setup.FlattenedObject;
+import spanrill.setup.InvalidFieldException;
 
 /**
  * One event of discovery.
@@ -29,62 +29,62 @@
     /**
      * Reads an event.
      *
-     * @throws SetupFault naming the first field that is missing or wrong; nothing of the event may be used
+     * @throws InvalidFieldException naming the first field that is missing or wrong; nothing of the event may be used
      *     then
      */
-    public static ServerListUpdate of(Pairs event) {
-        Pairs roster = event.at("roster.");
+    public static ServerListUpdate of(FlattenedObject event) {
+        FlattenedObject roster = event.section("roster.");
         long no = (long) event.number("no");
         if (no < 1) {
-            throw event.fault("no", "is not above 0");
+            throw event.invalid("no", "is not above 0");
         }
-        int count = roster.count("members");
+        int count = roster.itemCount("members");
         if (!roster.has("members.count") || count > MOST_MEMBERS) {
-            throw roster.fault("members", "is no list of servers");
+            throw roster.invalid("members", "is no list of servers");
         }
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            members.add(member(roster.at("members." + i + ".")));
+            members.add(member(roster.section("members." + i + ".")));
         }
         return new ServerListUpdate(no, bool(roster, "complete"), members);
     }
 
-    private static boolean bool(Pairs pairs, String key) {
+    private static boolean bool(FlattenedObject pairs, String key) {
         String text = pairs.text(key);
         if (!text.equals("true") && !text.equals("false")) {
-            throw pairs.fault(key, "is neither true nor false: '" + text + "'");
+            throw pairs.invalid(key, "is neither true nor false: '" + text + "'");
         }
         return text.equals("true");
     }
 
-    private static Member member(Pairs one) {
+    private static Member member(FlattenedObject one) {
         String phase = one.text("phase");
         ServerState state =
                 switch (phase) {
                     case "SERVING" -> ServerState.READY;
                     case "DRAINING" -> ServerState.DRAINING;
                     case "DELETED" -> ServerState.GONE;
-                    default -> throw one.fault("phase", "is no known state: '" + phase + "'");
+                    default -> throw one.invalid("phase", "is no known state: '" + phase + "'");
                 };
-        double started = one.optional("up_since_ms");
+        double started = one.optionalNumber("up_since_ms");
         Server server = new Server(
                 one.text("id"),
                 one.has("locality") ? one.text("locality") : null,
                 one.has("flavor") ? one.text("flavor") : null,
                 one.integer("cell"),
                 state,
-                one.optional("size"),
+                one.optionalNumber("size"),
                 started == 0 ? Double.NaN : started);
         return new Member(server, address(one, "host_port"));
     }
 
     /** Reads {@code host:port}, an address in figures: there is no DNS. */
-    public static InetSocketAddress address(Pairs pairs, String key) {
+    public static InetSocketAddress address(FlattenedObject pairs, String key) {
         return address(pairs, key, 1);
     }
 
     /** The same with ports from {@code least}: 0 stands for one that the system picks. */
-    static InetSocketAddress address(Pairs pairs, String key, int least) {
+    static InetSocketAddress address(FlattenedObject pairs, String key, int least) {
         String text = pairs.text(key);
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon));
@@ -98,6 +98,6 @@
                 // said below
             }
         }
-        throw pairs.fault(key, "is no address and port: '" + text + "'");
+        throw pairs.invalid(key, "is no address and port: '" + text + "'");
     }
 }
--- a/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
+++ b/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
@@ -11,7 +11,7 @@
 import spanrill.node.config.JsonPairs;
 import spanrill.node.config.ServerListUpdate;
 import spanrill.session.EventSink;
-import spanrill.setup.SetupFault;
+import spanrill.setup.InvalidFieldException;
 import spanrill.wire.http.EventStreamParser;
 import spanrill.wire.http.Headers;
 import spanrill.wire.http.HttpClientConnection;
@@ -166,7 +166,7 @@
             ServerListUpdate roster;
             try {
                 roster = ServerListUpdate.of(JsonPairs.read(data.getBytes(StandardCharsets.UTF_8)));
-            } catch (SetupFault fault) {
+            } catch (InvalidFieldException fault) {
                 // The list in force stays whole; the same event is asked for again.
                 log.info("discovery.malformed", "id", id, "reason", fault.getMessage());
                 broken();
--- a/node/src/main/java/spanrill/node/server/ServerConnection.java
+++ b/node/src/main/java/spanrill/node/server/ServerConnection.java
@@ -34,7 +34,7 @@
 import spanrill.loop.NextIterationExecutor;
 import spanrill.node.session.Attempt;
 import spanrill.node.session.SessionHost;
-import spanrill.setup.SetupReader;
+import spanrill.setup.SettingsReader;
 import spanrill.wire.platform.Cause;
 import spanrill.wire.platform.LoadReport;
 import spanrill.wire.platform.MalformedFrameException;
@@ -356,7 +356,7 @@
 
     private static Load load(Message message) {
         Map<String, Double> report = LoadReport.parse(message.text(Parameter.LOAD_REPORT));
-        return report == null ? null : SetupReader.load(report);
+        return report == null ? null : SettingsReader.load(report);
     }
 
     @Override
--- a/node/src/test/java/spanrill/node/config/NodeConfigTest.java
+++ b/node/src/test/java/spanrill/node/config/NodeConfigTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import spanrill.SessionControl.ServerState;
 import spanrill.node.TestConfig;
-import spanrill.setup.SetupFault;
+import spanrill.setup.InvalidFieldException;
 
 class NodeConfigTest {
     private static final String GOOD = TestConfig.json(
@@ -59,8 +59,8 @@
             })
     void faultsNameTheField(String good, String bad, String path) {
         assertTrue(GOOD.contains(good), good);
-        SetupFault fault =
-                assertThrows(SetupFault.class, () -> read(GOOD.replaceFirst(java.util.regex.Pattern.quote(good), bad)));
+        InvalidFieldException fault = assertThrows(
+                InvalidFieldException.class, () -> read(GOOD.replaceFirst(java.util.regex.Pattern.quote(good), bad)));
         assertEquals(path, fault.path());
     }
 
@@ -70,15 +70,15 @@
         String whole = GOOD.stripTrailing();
         for (int n = 0; n < whole.length(); n++) {
             String cut = whole.substring(0, n);
-            assertThrows(SetupFault.class, () -> read(cut));
+            assertThrows(InvalidFieldException.class, () -> read(cut));
         }
     }
 
     @Test
     void deepOrEndlessJsonIsAFault() {
-        assertThrows(SetupFault.class, () -> read("{\"a\":".repeat(1000)));
-        assertThrows(SetupFault.class, () -> read("{\"a\":\"" + "x".repeat(100_000) + "\"}"));
-        assertThrows(SetupFault.class, () -> read("[1]"));
-        assertThrows(SetupFault.class, () -> read("{} {}"));
+        assertThrows(InvalidFieldException.class, () -> read("{\"a\":".repeat(1000)));
+        assertThrows(InvalidFieldException.class, () -> read("{\"a\":\"" + "x".repeat(100_000) + "\"}"));
+        assertThrows(InvalidFieldException.class, () -> read("[1]"));
+        assertThrows(InvalidFieldException.class, () -> read("{} {}"));
     }
 }
--- a/node/src/test/java/spanrill/node/session/SessionHostTest.java
+++ b/node/src/test/java/spanrill/node/session/SessionHostTest.java
@@ -25,16 +25,16 @@
 import spanrill.node.TestConfig;
 import spanrill.node.config.JsonPairs;
 import spanrill.session.EventSink;
-import spanrill.session.HandClock;
-import spanrill.setup.Pairs;
-import spanrill.setup.SetupReader;
+import spanrill.session.ManualClock;
+import spanrill.setup.FlattenedObject;
+import spanrill.setup.SettingsReader;
 import spanrill.wire.platform.RequestAttributes;
 import spanrill.wire.platform.SetUp;
 
 /** The host on a clock that the test moves, with peers that do what the test says. */
 class SessionHostTest {
     private static final Settings SETTINGS = settings();
-    private final HandClock clock = new HandClock();
+    private final ManualClock clock = new ManualClock();
     private final Far far = new Far();
     private final Near near = new Near();
     private Near other;
@@ -55,12 +55,12 @@
             servers.add(new Server(id, "a", "std", 0, ServerState.READY, 1, Double.NaN));
         }
         host.servers(ListKind.KEPT, servers);
-        clock.run(4000);
+        clock.advance(4000);
     }
 
     private static Settings settings() {
-        Pairs pairs = JsonPairs.read(TestConfig.bytes(1, 2, List.of()));
-        return new SetupReader(pairs.at("settings.")).settings();
+        FlattenedObject pairs = JsonPairs.read(TestConfig.bytes(1, 2, List.of()));
+        return new SettingsReader(pairs.section("settings.")).settings();
     }
 
     private static final class Far implements ServerSide {
@@ -159,7 +159,7 @@
         assertArrayEquals(new byte[] {9}, near.description);
         host.over(out().server(), id, Outcome.OK, null);
         host.heard(id);
-        clock.run(9000);
+        clock.advance(9000);
         assertEquals(List.of("answer 1", "OVER 1"), near.heard);
         assertEquals(0, host.size());
     }
@@ -195,7 +195,7 @@
         Attempt attempt = out();
         clock.runUntil(() -> clock.now() >= attempt.until(), 1000);
         host.answered(attempt, new byte[0]);
-        clock.run(2000);
+        clock.advance(2000);
         assertEquals(List.of("answer 1"), near.heard);
     }
 
@@ -213,7 +213,7 @@
     @Test
     void theDeadlineIsAnsweredOnceWithTheAttemptGivenUp() {
         ask("paid");
-        clock.run(1100);
+        clock.advance(1100);
         assertEquals(List.of("FAILED 1"), near.heard);
         assertTrue(far.said.contains("giveUp"));
         assertEquals(0, host.size());
@@ -225,7 +225,7 @@
         SessionHost alone = new SessionHost(
                 SETTINGS, clock, EventSink.none(), EventSink.none(), far, () -> null, actions -> new Silent());
         alone.setUp(asked(77, "free", null), near, 500);
-        clock.run(600);
+        clock.advance(600);
         assertEquals(List.of("FAILED 77"), near.heard);
     }
 
@@ -234,7 +234,7 @@
     void aPaidAttemptThatWaitedInVainIsRefusedNotFailed() {
         far.unwritten = true;
         long id = ask("paid");
-        clock.run(1100);
+        clock.advance(1100);
         assertEquals(1, near.heard.size());
         assertTrue(near.heard.get(0).startsWith("REFUSED " + id), near.heard.toString());
     }
@@ -257,9 +257,9 @@
         host.answerWithin(100);
         ask("free");
         assertTrue(far.out.stream().skip(1).allMatch(attempt -> attempt.until() <= clock.now() + 100));
-        clock.run(99);
+        clock.advance(99);
         assertEquals(2, host.open());
-        clock.run(1);
+        clock.advance(1);
         assertEquals(0, host.open());
         assertEquals(List.of("FAILED 1", "FAILED 2"), near.heard);
         assertEquals(2, far.said.stream().filter("giveUp"::equals).count());
@@ -273,7 +273,7 @@
         assertEquals("giveUp", far.said.get(1));
         ask("free");
         host.linkEnded(List.of(2L));
-        clock.run(2000);
+        clock.advance(2000);
         assertTrue(near.heard.isEmpty());
         assertEquals(0, host.size());
     }
@@ -306,11 +306,11 @@
         host.linkReady(next);
         assertEquals(List.of("CUT 2"), next.heard);
         other = next;
-        clock.run(450);
+        clock.advance(450);
         assertEquals(List.of("CUT 2", "OVER 1", "CUT 2"), next.heard, "not heard: again");
         host.heard(1);
         host.heard(2);
-        clock.run(9000);
+        clock.advance(9000);
         assertEquals(3, next.heard.size());
     }
 
@@ -320,7 +320,7 @@
      */
     @Test
     void whatIsOwedIsLookedAtOnceAtATime() {
-        int before = clock.waiting();
+        int before = clock.pendingTimers();
         for (int i = 0; i < 50; i++) {
             long id = ask("free");
             host.answered(out(), new byte[0]);
@@ -330,8 +330,8 @@
         long last = ask("free");
         host.answered(out(), new byte[0]);
         host.over(out().server(), last, Outcome.OK, null);
-        clock.run(150);
-        assertTrue(clock.waiting() <= before + 1, "timers: " + before + " then " + clock.waiting());
+        clock.advance(150);
+        assertTrue(clock.pendingTimers() <= before + 1, "timers: " + before + " then " + clock.pendingTimers());
     }
 
     @Test
@@ -352,10 +352,10 @@
     void sessionsAtAServerThatIsNeverListedEnd() {
         host.standsAt(asked(50, "free", "s-8"), near);
         host.standsAt(asked(51, "free", "s-9"), near);
-        clock.run(3000);
+        clock.advance(3000);
         assertEquals(2, near.standing);
         host.servers(ListKind.CHANGES, List.of(new Server("s-8", "a", "std", 0, ServerState.READY, 1, Double.NaN)));
-        clock.run(3500);
+        clock.advance(3500);
         assertEquals(List.of("CUT 51"), near.heard.subList(0, 1));
         assertEquals(1, near.standing);
     }
@@ -386,7 +386,7 @@
         module.actions.move(String.format("%016x", 60));
         module.actions.move(String.format("%016x", 61));
         moved[0].over("s-1", 60, Outcome.CANCELLED, null);
-        clock.run(1000);
+        clock.advance(1000);
         assertEquals(List.of("move 60", "move 61", "CUT 61"), near.heard);
         assertTrue(far.said.contains("release 61") && !far.said.contains("release 60"));
     }
@@ -440,7 +440,7 @@
             } else if (pick == 8 && ids > 0) {
                 host.released(1 + random.nextInt((int) ids));
             } else {
-                clock.run(random.nextInt(300));
+                clock.advance(random.nextInt(300));
             }
             assertEquals(
                     far.out.size(),
@@ -453,7 +453,7 @@
                         "sent again without proof");
             }
         }
-        clock.run(5000);
+        clock.advance(5000);
         for (long id = 1; id <= ids; id++) {
             String suffix = " " + id;
             long answers = near.heard.stream()
--- a/session/src/main/java/spanrill/session/Attempts.java
+++ b/session/src/main/java/spanrill/session/Attempts.java
@@ -21,7 +21,7 @@
     private final SessionTable table;
     private final EventSink log;
     private final Owner owner;
-    private BoxSide boxes;
+    private BoxClient boxes;
 
     Attempts(SerialExecutor executor, SessionTable table, EventSink log, Owner owner) {
         this.executor = executor;
@@ -30,7 +30,7 @@
         this.owner = owner;
     }
 
-    void begin(BoxSide side) {
+    void begin(BoxClient side) {
         boxes = side;
     }
 
@@ -44,21 +44,21 @@
         boolean goesOn = session.phase() == Phase.MOVING_SET_UP;
         session.until = executor.schedule(until - session.sentAt, now -> timedOut(now, session, key));
         session.attempt = boxes.setUp(
-                new BoxSide.Order(
+                new BoxClient.SetUpRequest(
                         box,
                         key,
                         session.request(),
                         session.rung,
                         session.type().once() && !goesOn,
                         goesOn ? session.firstKey : null),
-                new BoxSide.AttemptListener() {
+                new BoxClient.AttemptListener() {
                     @Override
-                    public void plays() {
+                    public void onPlaying() {
                         executor.execute(now -> playing(now, session, key));
                     }
 
                     @Override
-                    public void ended(Outcome outcome, Load load) {
+                    public void onEnded(Outcome outcome, Load load) {
                         executor.execute(now -> attemptEnded(now, session, key, outcome, load));
                     }
                 });
@@ -120,7 +120,7 @@
     /** Tells the box of a session its rung, where one plays it or sets it up. */
     void rate(Session session) {
         if (session.phase() == Phase.PLAYING || session.state.hasOpenAttempt()) {
-            boxes.rung(session.box, session.key, session.rung);
+            boxes.setRung(session.box, session.key, session.rung);
         }
     }
 }
--- a/session/src/main/java/spanrill/session/BoxSide.java
+++ b/session/src/main/java/spanrill/session/BoxClient.java
@@ -7,7 +7,7 @@
 
 /** What the core asks of boxes. All calls and callbacks come one after the other;
  * callbacks may come within a call. */
-public interface BoxSide {
+public interface BoxClient {
     /**
      * An order to set a session up.
      *
@@ -18,15 +18,15 @@
      * @param spends true when it spends something (a paid class's first set-up)
      * @param continues key of the attempt that it goes on with, or null
      */
-    record Order(String box, String key, ViewerRequest request, int rung, boolean spends, String continues) {}
+    record SetUpRequest(String box, String key, ViewerRequest request, int rung, boolean spends, String continues) {}
 
     /** Hears what comes of an attempt: one of the two, once. */
     interface AttemptListener {
         /** The first media byte came. */
-        void plays();
+        void onPlaying();
 
         /** It ended before that. */
-        void ended(Outcome outcome, Load load);
+        void onEnded(Outcome outcome, Load load);
     }
 
     /** An attempt that is out. */
@@ -41,10 +41,10 @@
     }
 
     /** Sets a session up. */
-    Attempt setUp(Order order, AttemptListener listener);
+    Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener);
 
     /** Sets the rung of an attempt. */
-    void rung(String box, String key, int rung);
+    void setRung(String box, String key, int rung);
 
     /** Releases a session; {@code done} is called once, with the load or null when the box didn't answer. */
     void release(String box, String key, Consumer<Load> done);
--- a/session/src/main/java/spanrill/session/EventSink.java
+++ b/session/src/main/java/spanrill/session/EventSink.java
@@ -9,7 +9,7 @@
     void error(String event, Throwable cause, Object... fields);
 
     /** False when it keeps nothing, so that what costs something to say need not be built. */
-    default boolean keeps() {
+    default boolean isEnabled() {
         return true;
     }
 
@@ -17,7 +17,7 @@
     static EventSink none() {
         return new EventSink() {
             @Override
-            public boolean keeps() {
+            public boolean isEnabled() {
                 return false;
             }
 
--- a/session/src/main/java/spanrill/session/Scheduler.java
+++ b/session/src/main/java/spanrill/session/Scheduler.java
@@ -15,5 +15,5 @@
     double now();
 
     /** Runs an action once after a time, in milliseconds; at once in its turn when that is not above 0. */
-    Timer after(double ms, Runnable action);
+    Timer schedule(double ms, Runnable action);
 }
--- a/session/src/main/java/spanrill/session/SerialExecutor.java
+++ b/session/src/main/java/spanrill/session/SerialExecutor.java
@@ -48,12 +48,12 @@
 
     /** Tells an event after a time. */
     public Scheduler.Timer schedule(double ms, DoubleConsumer event) {
-        return scheduler.after(ms, () -> execute(event));
+        return scheduler.schedule(ms, () -> execute(event));
     }
 
     /** Tells an event again and again. */
     public void scheduleRepeatedly(double ms, DoubleConsumer event) {
-        scheduler.after(ms, () -> {
+        scheduler.schedule(ms, () -> {
             execute(event);
             scheduleRepeatedly(ms, event);
         });
--- a/session/src/main/java/spanrill/session/Session.java
+++ b/session/src/main/java/spanrill/session/Session.java
@@ -24,7 +24,7 @@
     String key;
     String firstKey;
     double sentAt;
-    BoxSide.Attempt attempt;
+    BoxClient.Attempt attempt;
     Scheduler.Timer until;
     Scheduler.Timer net;
     double retryAfterMs;
@@ -82,12 +82,12 @@
     }
 
     /** Key of its attempt at the box. */
-    public String key() {
+    public String attemptKey() {
         return key;
     }
 
     /** Why it is over, or null. */
-    public SessionEnd end() {
+    public SessionEnd endReason() {
         return end;
     }
 
--- a/session/src/main/java/spanrill/session/SessionCore.java
+++ b/session/src/main/java/spanrill/session/SessionCore.java
@@ -22,7 +22,7 @@
  */
 public final class SessionCore implements SessionControl.Actions {
     /** Makes the module of a core. */
-    public interface Policy {
+    public interface ModuleFactory {
         /** A module that acts by {@code actions}. */
         SessionControl create(SessionControl.Settings settings, long seed, SessionControl.Actions actions);
     }
@@ -37,7 +37,11 @@
      * @param policy makes the module
      */
     public record Host(
-            Scheduler scheduler, EventSink log, SpentTokenStore memory, Supplier<String> names, Policy policy) {
+            Scheduler scheduler,
+            EventSink log,
+            SpentTokenStore memory,
+            Supplier<String> names,
+            SessionCore.ModuleFactory policy) {
         /** A host of the module itself. */
         public Host(Scheduler scheduler, EventSink log, SpentTokenStore memory, Supplier<String> names) {
             this(scheduler, log, memory, names, Control::new);
@@ -54,7 +58,7 @@
     private Runnable onReady = () -> {};
     private boolean listed;
 
-    /** A core on a host; {@link #begin} starts it. */
+    /** A core on a host; {@link #start} starts it. */
     public SessionCore(CoreSettings settings, Host host) {
         log = host.log();
         executor = new SerialExecutor(host.scheduler(), log);
@@ -63,13 +67,13 @@
         lives = new SessionLifecycle(settings, control, executor, log, host.names(), tokens, table);
     }
 
-    /** A token remembered from before the process began; before {@link #begin}. */
-    public void restore(String tokenId, boolean used, double expiresAt) {
+    /** A token remembered from before the process began; before {@link #start}. */
+    public void restoreToken(String tokenId, boolean used, double expiresAt) {
         tokens.restore(tokenId, used, expiresAt);
     }
 
     /** Starts the module, with the box side that carries out what it decides. */
-    public void begin(BoxSide side) {
+    public void start(BoxClient side) {
         executor.execute(control::start);
         lives.begin(side);
     }
@@ -77,14 +81,14 @@
     // ---- the list
 
     /** A list of boxes came, or failed to. */
-    public void servers(ListKind kind, List<Server> servers) {
+    public void updateServers(ListKind kind, List<Server> servers) {
         listed |= kind != ListKind.FAILED;
         executor.execute(now -> control.servers(now, kind, servers));
         lookWhetherReady();
     }
 
     /** The catalogue came. */
-    public void titles(Map<String, Title> catalogue) {
+    public void updateCatalogue(Map<String, Title> catalogue) {
         titles = catalogue;
         lookWhetherReady();
     }
@@ -110,10 +114,10 @@
     // ---- viewers
 
     /** A viewer asks. The call is answered, at once or later. */
-    public void offer(ViewerRequest wish, ViewerCall call) {
+    public void requestSession(ViewerRequest wish, ViewerCall call) {
         Title title = titles.get(wish.title());
         if (title == null) {
-            call.unusable(ready() ? ViewerCall.Unusable.NO_TITLE : ViewerCall.Unusable.NOT_READY);
+            call.onUnusable(ready() ? ViewerCall.UnusableReason.NO_TITLE : ViewerCall.UnusableReason.NOT_READY);
             return;
         }
         double now = executor.now();
@@ -121,42 +125,42 @@
         switch (verdict.kind()) {
             case NEW -> lives.take(now, wish, title, call, verdict.refusedBefore());
             case JOIN -> lives.join(table.live(verdict.session()), call);
-            case REFUSED -> call.refused(verdict.retryAfterMs());
-            case FAILED -> call.failed();
-            case USED -> call.unusable(ViewerCall.Unusable.USED);
-            default -> call.unusable(ViewerCall.Unusable.NO_ROOM);
+            case REFUSED -> call.onRefused(verdict.retryAfterMs());
+            case FAILED -> call.onFailed();
+            case USED -> call.onUnusable(ViewerCall.UnusableReason.USED);
+            default -> call.onUnusable(ViewerCall.UnusableReason.NO_ROOM);
         }
     }
 
     /** A viewer that waited for the answer to its call went away. */
-    public void left(ViewerCall call) {
+    public void cancelCall(ViewerCall call) {
         lives.left(call);
     }
 
     /** The session of this public name, in play or over a short while ago, or null. */
-    public Session session(String id) {
+    public Session findSession(String id) {
         return table.known(executor.now(), id);
     }
 
     /** A sign of life of a session's player. */
-    public void seen(Session session) {
+    public void recordActivity(Session session) {
         lives.seen(session);
     }
 
     /** Its player told how it fares. */
-    public void told(Session session, boolean starved) {
+    public void recordPlayerReport(Session session, boolean starved) {
         session.starved += starved ? 1 : 0;
     }
 
     /** Its viewer ended it. */
-    public void finish(Session session) {
+    public void endSession(Session session) {
         executor.execute(now -> lives.end(now, session, SessionEnd.ENDED));
     }
 
     // ---- boxes
 
     /** A note of a box. */
-    public void note(String box, String key, NoteKind kind, double value) {
+    public void handleNote(String box, String key, NoteKind kind, double value) {
         Session session = table.ofKey(key);
         if (session != null && session.phase() == Phase.PLAYING) {
             executor.execute(now -> {
@@ -168,22 +172,22 @@
     }
 
     /** The box ended an attempt, or doesn't know it any more. */
-    public void lost(String key, SessionEnd why) {
+    public void handleAttemptLost(String key, SessionEnd why) {
         executor.execute(now -> lives.lose(now, table.ofKey(key), why));
     }
 
     /** A box went away with all it played. */
-    public void boxLost(String box, SessionEnd why) {
+    public void handleBoxLost(String box, SessionEnd why) {
         executor.execute(now -> table.playingAt(box).forEach(session -> lives.lose(now, session, why)));
     }
 
     /** True while sessions play or are set up at a box. */
-    public boolean anyAt(String box) {
+    public boolean hasSessionsAt(String box) {
         return table.anyAt(box);
     }
 
     /** Sessions held. */
-    public int size() {
+    public int sessionCount() {
         return table.size();
     }
 
--- a/session/src/main/java/spanrill/session/SessionLifecycle.java
+++ b/session/src/main/java/spanrill/session/SessionLifecycle.java
@@ -32,7 +32,7 @@
     private final Attempts attempts;
     private final IdleSessionTracker idle;
     private final Map<ViewerCall, Session> calls = new IdentityHashMap<>();
-    private BoxSide boxes;
+    private BoxClient boxes;
 
     SessionLifecycle(
             CoreSettings settings,
@@ -53,7 +53,7 @@
         idle = new IdleSessionTracker(settings.idleMs());
     }
 
-    void begin(BoxSide side) {
+    void begin(BoxClient side) {
         boxes = side;
         attempts.begin(side);
         executor.scheduleRepeatedly(IDLE_LOOK_MS, this::lookForIdle);
@@ -67,7 +67,7 @@
         Session session = new Session(names.get(), wish, type, title, now);
         await(session, call);
         table.add(session);
-        AnswerDeadline time = type.time();
+        AnswerDeadline time = type.answerTime();
         session.net = executor.schedule(time.guardDelayMs(now, wish.arrivedAt()), at -> overdue(at, session));
         tokens.taken(
                 session,
@@ -88,7 +88,7 @@
         if (session.state.isAnswerPending()) {
             await(session, call);
         } else {
-            call.plays(session);
+            call.onPlaying(session);
         }
     }
 
@@ -156,9 +156,9 @@
         close(executor.now(), session, SessionEnd.fromFinalAnswer(refused, owed));
         for (ViewerCall call : due) {
             if (refused) {
-                call.refused(retryAfterMs);
+                call.onRefused(retryAfterMs);
             } else {
-                call.failed();
+                call.onFailed();
             }
         }
     }
@@ -216,7 +216,7 @@
                     session.state.attempts(),
                     "ms",
                     Math.round(now - session.takenAt));
-            answered(session).forEach(call -> call.plays(session));
+            answered(session).forEach(call -> call.onPlaying(session));
         }
         control.playing(now, session.moduleRequest, session.box, tookMs);
         session.changed();
@@ -249,7 +249,7 @@
             if (session.phase() == Phase.MOVING
                     && session.moves == move
                     && !(session.id() + "-" + move).equals(session.moduleRequest)) {
-                ask(now, session, session.type().time().totalMs(), true, true);
+                ask(now, session, session.type().answerTime().totalMs(), true, true);
             }
         });
     }
--- a/session/src/main/java/spanrill/session/SessionType.java
+++ b/session/src/main/java/spanrill/session/SessionType.java
@@ -8,6 +8,6 @@
  * @param once paid for at set-up: set up once at most
  * @param floor lowest rung
  * @param scale its rates over the ladder's
- * @param time when its answers are due
+ * @param answerTime when its answers are due
  */
-public record SessionType(boolean once, int floor, double scale, AnswerDeadline time) {}
+public record SessionType(boolean once, int floor, double scale, AnswerDeadline answerTime) {}
--- a/session/src/main/java/spanrill/session/SpentTokenStore.java
+++ b/session/src/main/java/spanrill/session/SpentTokenStore.java
@@ -5,7 +5,7 @@
 /** Remembers tokens of paid sessions over the death of the process. Called on the front's loop. */
 public interface SpentTokenStore {
     /** What a token came to. */
-    enum Fate {
+    enum TokenState {
         /** Its request was taken: a set-up may have been sent. */
         TAKEN,
         /** It may have run, and its viewer was not told that it plays. */
@@ -19,21 +19,21 @@
      *
      * @param then called on the loop once that is safe on disk, with true; with false when it can't be
      */
-    void taken(String tokenId, double expiresAt, Consumer<Boolean> then);
+    void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then);
 
     /** What it came to; null: nothing ran, it may be forgotten. Needs not be safe at once. */
-    void over(String tokenId, Fate fate);
+    void recordState(String tokenId, SpentTokenStore.TokenState fate);
 
     /** Remembers nothing. */
     static SpentTokenStore none() {
         return new SpentTokenStore() {
             @Override
-            public void taken(String tokenId, double expiresAt, Consumer<Boolean> then) {
+            public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then) {
                 then.accept(true);
             }
 
             @Override
-            public void over(String tokenId, Fate fate) {}
+            public void recordState(String tokenId, SpentTokenStore.TokenState fate) {}
         };
     }
 }
--- a/session/src/main/java/spanrill/session/TokenAdmission.java
+++ b/session/src/main/java/spanrill/session/TokenAdmission.java
@@ -36,7 +36,7 @@
         ViewerRequest wish = session.request();
         admission.assignSession(wish.tokenId(), session.id(), session.type().once(), wish.expiresAt());
         if (session.type().once()) {
-            memory.taken(wish.tokenId(), wish.expiresAt(), then);
+            memory.recordTaken(wish.tokenId(), wish.expiresAt(), then);
         } else {
             then.accept(true);
         }
@@ -45,7 +45,7 @@
     /** A session plays for the first time. */
     void plays(Session session) {
         if (session.type().once()) {
-            memory.over(session.request().tokenId(), SpentTokenStore.Fate.USED);
+            memory.recordState(session.request().tokenId(), SpentTokenStore.TokenState.USED);
         }
     }
 
@@ -56,11 +56,11 @@
         String tokenId = session.request().tokenId();
         admission.endSession(now, tokenId, answer, mayHaveRun, session.retryAfterMs);
         if (session.type().once()) {
-            memory.over(
+            memory.recordState(
                     tokenId,
                     answer == Answer.PLAYS
-                            ? SpentTokenStore.Fate.USED
-                            : mayHaveRun ? SpentTokenStore.Fate.FAILED : null);
+                            ? SpentTokenStore.TokenState.USED
+                            : mayHaveRun ? SpentTokenStore.TokenState.FAILED : null);
         }
     }
 }
--- a/session/src/main/java/spanrill/session/ViewerCall.java
+++ b/session/src/main/java/spanrill/session/ViewerCall.java
@@ -1,25 +1,25 @@
 package spanrill.session;
 
 /**
- * One request at a viewer side that waits for its answer. Exactly one of {@link #plays}, {@link #refused},
- * {@link #failed} and {@link #unusable} is called, once, on the front's loop. A viewer side whose viewer goes
- * away first tells {@link SessionCore#left} and is called no more.
+ * One request at a viewer side that waits for its answer. Exactly one of {@link #onPlaying}, {@link #onRefused},
+ * {@link #onFailed} and {@link #onUnusable} is called, once, on the front's loop. A viewer side whose viewer goes
+ * away first tells {@link SessionCore#cancelCall} and is called no more.
  */
 public interface ViewerCall {
     /** The session plays. */
-    void plays(Session session);
+    void onPlaying(Session session);
 
     /** Turned away: a later try is harmless. */
-    void refused(double retryAfterMs);
+    void onRefused(double retryAfterMs);
 
     /** Failed, with no assurance about its effect. */
-    void failed();
+    void onFailed();
 
     /** No request was made of it: its token stands for nothing any more, or there is no room. */
-    void unusable(Unusable why);
+    void onUnusable(ViewerCall.UnusableReason why);
 
     /** Why a token can't be used. */
-    enum Unusable {
+    enum UnusableReason {
         /** Its session is over. */
         USED,
         /** Too many tokens are remembered: come later. */
--- a/session/src/main/java/spanrill/session/VirtualTimeScheduler.java
+++ b/session/src/main/java/spanrill/session/VirtualTimeScheduler.java
@@ -43,12 +43,12 @@
     }
 
     /** Events that ran. */
-    public long ran() {
+    public long executedCount() {
         return ran;
     }
 
     @Override
-    public Entry after(double ms, Runnable action) {
+    public Entry schedule(double ms, Runnable action) {
         Entry entry = new Entry(now + Math.max(0, ms), orders++, action);
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, size * 2);
--- a/session/src/test/java/spanrill/session/HandClock.java
+++ b/session/src/test/java/spanrill/session/ManualClock.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Time that stands still until the test moves it; timers run in order of time, then of setting. */
-public final class HandClock implements Scheduler {
+public final class ManualClock implements Scheduler {
     private record Due(double at, long order, Runnable action) {}
 
     private final PriorityQueue<Due> due =
@@ -19,14 +19,14 @@
     }
 
     @Override
-    public Timer after(double ms, Runnable action) {
+    public Timer schedule(double ms, Runnable action) {
         Due set = new Due(now + Math.max(0, ms), orders++, action);
         due.add(set);
         return () -> due.remove(set);
     }
 
     /** Time passes without a timer run, as when a process stands still. */
-    public void standStill(double ms) {
+    public void advanceWithoutTimers(double ms) {
         now += ms;
     }
 
@@ -47,12 +47,12 @@
     }
 
     /** Timers that are set. */
-    public int waiting() {
+    public int pendingTimers() {
         return due.size();
     }
 
     /** Runs all timers of a time. */
-    public void run(double ms) {
+    public void advance(double ms) {
         runUntil(() -> false, ms);
     }
 }
--- a/session/src/test/java/spanrill/session/SessionCoreTest.java
+++ b/session/src/test/java/spanrill/session/SessionCoreTest.java
@@ -26,26 +26,26 @@
  * wires seldom show.
  */
 class SessionCoreTest {
-    private final HandClock clock = new HandClock();
+    private final ManualClock clock = new ManualClock();
     private final FakeBoxes boxes = new FakeBoxes();
     private final Deque<String> answers = new ArrayDeque<>();
     private SessionCore core;
     private long names;
 
     /** A set-up that is out. */
-    private record Out(BoxSide.Order order, BoxSide.AttemptListener listener) {}
+    private record Out(BoxClient.SetUpRequest order, BoxClient.AttemptListener listener) {}
 
-    private static final class FakeBoxes implements BoxSide {
+    private static final class FakeBoxes implements BoxClient {
         private final Deque<Out> out = new ArrayDeque<>();
         private final List<String> told = new ArrayList<>();
         private final List<Consumer<Load>> releases = new ArrayList<>();
         private Outcome atOnce;
 
         @Override
-        public Attempt setUp(Order order, AttemptListener listener) {
+        public Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener) {
             out.add(new Out(order, listener));
             if (atOnce != null) {
-                listener.ended(atOnce, null);
+                listener.onEnded(atOnce, null);
             }
             return why -> {
                 told.add("abandon " + why);
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void rung(String box, String key, int rung) {
+        public void setRung(String box, String key, int rung) {
             told.add("rung " + rung);
         }
 
@@ -67,22 +67,22 @@
 
     private final class Call implements ViewerCall {
         @Override
-        public void plays(Session session) {
+        public void onPlaying(Session session) {
             answers.add("plays " + session.id());
         }
 
         @Override
-        public void refused(double retryAfterMs) {
+        public void onRefused(double retryAfterMs) {
             answers.add("refused");
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             answers.add("failed");
         }
 
         @Override
-        public void unusable(Unusable why) {
+        public void onUnusable(ViewerCall.UnusableReason why) {
             answers.add(why.toString());
         }
     }
@@ -138,13 +138,13 @@
     @BeforeEach
     void start() {
         core = fresh();
-        core.begin(boxes);
-        core.titles(Map.of("title", new Title("title", 0, 4, 60_000, 2000)));
+        core.start(boxes);
+        core.updateCatalogue(Map.of("title", new Title("title", 0, 4, 60_000, 2000)));
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             servers.add(new Server("s" + i, "a", "std", i, ServerState.READY, 1, Double.NaN));
         }
-        core.servers(ListKind.WHOLE, servers);
+        core.updateServers(ListKind.WHOLE, servers);
     }
 
     private void run(Runnable action) {
@@ -153,7 +153,7 @@
 
     private Call ask(String token, String cls) {
         Call call = new Call();
-        run(() -> core.offer(
+        run(() -> core.requestSession(
                 new ViewerRequest(token, clock.now(), clock.now() + 60_000, "title", cls, null, "v", 4), call));
         return call;
     }
@@ -176,13 +176,13 @@
         Out out = out();
         // The time-out is due when the turn ends, but the box's answer is taken first.
         run(() -> {
-            clock.standStill(600);
-            out.listener().plays();
+            clock.advanceWithoutTimers(600);
+            out.listener().onPlaying();
         });
         assertTrue(answer().startsWith("plays"));
         run(() -> {});
         assertEquals(0, answers.size());
-        assertEquals(1, core.size());
+        assertEquals(1, core.sessionCount());
     }
 
     @Test
@@ -190,8 +190,8 @@
         ask("t", "paid");
         Out out = out();
         assertEquals("failed", answer());
-        run(() -> out.listener().plays());
-        run(() -> out.listener().ended(Outcome.FULL, null));
+        run(() -> out.listener().onPlaying());
+        run(() -> out.listener().onEnded(Outcome.FULL, null));
         assertEquals(0, answers.size());
         assertEquals(List.of("abandon TIMED_OUT"), boxes.told);
         assertEquals(0, boxes.out.size());
@@ -207,7 +207,7 @@
         assertEquals("refused", answer());
         // Four holders, each turned it away with proof, one after the other.
         assertEquals(4, boxes.out.size());
-        assertEquals(0, core.size());
+        assertEquals(0, core.sessionCount());
     }
 
     @Test
@@ -216,11 +216,11 @@
         ask("t", "paid");
         Out out = out();
         assertEquals(0, boxes.out.size());
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         assertEquals(answer(), answer());
         ask("t", "paid");
         assertTrue(answer().startsWith("plays"));
-        assertEquals(1, core.size());
+        assertEquals(1, core.sessionCount());
     }
 
     @Test
@@ -228,11 +228,11 @@
         Call first = ask("t", "free");
         Call second = ask("t", "free");
         out();
-        run(() -> core.left(first));
+        run(() -> core.cancelCall(first));
         assertEquals(List.of(), boxes.told);
-        run(() -> core.left(second));
+        run(() -> core.cancelCall(second));
         assertEquals(List.of("abandon CANCELLED"), boxes.told);
-        assertEquals(0, core.size());
+        assertEquals(0, core.sessionCount());
         assertEquals(0, answers.size());
     }
 
@@ -240,7 +240,7 @@
     void aPaidTokenWhoseViewerLeftDuringSetUpFailsAfterwards() {
         Call call = ask("t", "paid");
         out();
-        run(() -> core.left(call));
+        run(() -> core.cancelCall(call));
         ask("t", "paid");
         assertEquals("failed", answer());
         assertEquals(0, boxes.out.size());
@@ -250,10 +250,10 @@
     void aFreeSessionGoesOnElsewhereAfterAnUnprovenLoss() {
         ask("t", "free");
         Out first = out();
-        run(() -> first.listener().ended(Outcome.RESET, null));
+        run(() -> first.listener().onEnded(Outcome.RESET, null));
         Out second = out();
         assertTrue(!second.order().box().equals(first.order().box()));
-        run(second.listener()::plays);
+        run(second.listener()::onPlaying);
         assertTrue(answer().startsWith("plays"));
     }
 
@@ -261,29 +261,29 @@
     void aLostBoxEndsItsSessionsAndTheTokenIsUsed() {
         ask("t", "free");
         Out out = out();
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         String id = answer().substring("plays ".length());
-        run(() -> core.boxLost(out.order().box(), SessionEnd.BOX_GONE));
-        run(() -> assertEquals(SessionEnd.BOX_GONE, core.session(id).end()));
+        run(() -> core.handleBoxLost(out.order().box(), SessionEnd.BOX_GONE));
+        run(() -> assertEquals(SessionEnd.BOX_GONE, core.findSession(id).endReason()));
         ask("t", "free");
         assertEquals("USED", answer());
-        assertEquals(0, core.size());
+        assertEquals(0, core.sessionCount());
     }
 
     @Test
     void aSessionWithoutASignOfLifeIsReleased() {
         ask("t", "free");
         Out out = out();
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         answer();
-        run(() -> core.finish(core.session("nobody") == null ? session(out) : null));
+        run(() -> core.endSession(core.findSession("nobody") == null ? session(out) : null));
         assertEquals(List.of("release " + out.order().key()), boxes.told);
         run(() -> boxes.releases.get(0).accept(null));
-        assertEquals(0, core.size());
+        assertEquals(0, core.sessionCount());
     }
 
     private Session session(Out out) {
-        return core.session(out.order().key().substring(0, 22));
+        return core.findSession(out.order().key().substring(0, 22));
     }
 
     @Test
@@ -291,7 +291,7 @@
         ask("t", "paid");
         Out out = out();
         assertTrue(out.order().spends());
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         answer();
         Session session = session(out);
         run(() -> core.move(session.id() + "-0"));
@@ -301,7 +301,7 @@
         Out again = out();
         assertEquals(out.order().key(), again.order().continues());
         assertTrue(!again.order().spends());
-        run(again.listener()::plays);
+        run(again.listener()::onPlaying);
         run(() -> assertEquals(again.order().box(), session.box()));
         assertEquals(0, answers.size(), "a move is no answer");
     }
@@ -310,12 +310,12 @@
     void aMoveWhoseOldBoxIsSilentGoesOnAfterItsTime() {
         ask("t", "free");
         Out out = out();
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         answer();
         run(() -> core.move(session(out).id() + "-0"));
         Out again = out();
         run(() -> boxes.releases.get(0).accept(null));
-        run(again.listener()::plays);
+        run(again.listener()::onPlaying);
         assertEquals(0, boxes.out.size(), "it came back twice");
     }
 
@@ -323,15 +323,15 @@
     void aPlayerThatIsSilentIsReleasedAndToldWhy() {
         ask("t", "free");
         Out out = out();
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         answer();
         Session session = session(out);
-        clock.run(7000);
-        core.seen(session);
-        clock.run(7000);
-        assertEquals(1, core.size(), "it was heard of 7 s ago");
-        clock.run(1500);
-        assertEquals(SessionEnd.IDLE, session.end());
+        clock.advance(7000);
+        core.recordActivity(session);
+        clock.advance(7000);
+        assertEquals(1, core.sessionCount(), "it was heard of 7 s ago");
+        clock.advance(1500);
+        assertEquals(SessionEnd.IDLE, session.endReason());
         assertEquals(List.of("release " + out.order().key()), boxes.told);
     }
 
@@ -339,14 +339,14 @@
     void aMoveThatNoBoxTakesEndsTheSessionWithAWait() {
         ask("t", "free");
         Out out = out();
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         answer();
         Session session = session(out);
         core.move(session.id() + "-0");
         boxes.atOnce = Outcome.FULL;
         boxes.releases.get(0).accept(null);
-        clock.run(1000);
-        assertEquals(SessionEnd.MOVE_REFUSED, session.end());
+        clock.advance(1000);
+        assertEquals(SessionEnd.MOVE_REFUSED, session.endReason());
         assertTrue(session.retryAfterMs() > 0);
         assertEquals(0, answers.size(), "the request was answered long ago");
     }
@@ -355,22 +355,24 @@
     void aSessionIsForgottenSomeTimeAfterItsEnd() {
         ask("t", "free");
         Out out = out();
-        run(out.listener()::plays);
+        run(out.listener()::onPlaying);
         answer();
-        core.finish(session(out));
-        clock.run(119_000);
-        assertEquals(SessionEnd.ENDED, session(out).end());
-        clock.run(2000);
+        core.endSession(session(out));
+        clock.advance(119_000);
+        assertEquals(SessionEnd.ENDED, session(out).endReason());
+        clock.advance(2000);
         assertEquals(null, session(out));
     }
 
     @Test
     void requestsBeforeTheListAndForUnknownTitlesAreTold() {
-        run(() -> core.offer(new ViewerRequest("x", clock.now(), 1e15, "nowhere", "free", null, "v", 4), new Call()));
+        run(() -> core.requestSession(
+                new ViewerRequest("x", clock.now(), 1e15, "nowhere", "free", null, "v", 4), new Call()));
         assertEquals("NO_TITLE", answer());
         SessionCore empty = fresh();
-        run(() -> empty.begin(boxes));
-        run(() -> empty.offer(new ViewerRequest("x", clock.now(), 1e15, "title", "free", null, "v", 4), new Call()));
+        run(() -> empty.start(boxes));
+        run(() -> empty.requestSession(
+                new ViewerRequest("x", clock.now(), 1e15, "title", "free", null, "v", 4), new Call()));
         assertEquals("NOT_READY", answer());
     }
 }
--- a/session/src/test/java/spanrill/session/VirtualTimeSchedulerTest.java
+++ b/session/src/test/java/spanrill/session/VirtualTimeSchedulerTest.java
@@ -22,7 +22,7 @@
         List<Integer> ran = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
             int number = i;
-            VirtualTimeScheduler.Entry entry = agenda.after(times.get(i), () -> ran.add(number));
+            VirtualTimeScheduler.Entry entry = agenda.schedule(times.get(i), () -> ran.add(number));
             if (i % 3 == 2) {
                 entry.cancel();
             } else if (times.get(i) <= 30) {
@@ -33,20 +33,20 @@
         agenda.runUntil(30);
         assertEquals(expected.stream().map(e -> e[1]).toList(), ran);
         assertEquals(30, agenda.now());
-        assertEquals(ran.size(), agenda.ran());
+        assertEquals(ran.size(), agenda.executedCount());
     }
 
     @Test
     void whatAnEventSetsRunsInItsTurn() {
         VirtualTimeScheduler agenda = new VirtualTimeScheduler();
         List<String> ran = new ArrayList<>();
-        agenda.after(5, () -> {
+        agenda.schedule(5, () -> {
             ran.add("a" + agenda.now());
-            agenda.after(0, () -> ran.add("c" + agenda.now()));
-            agenda.after(-3, () -> ran.add("d" + agenda.now()));
-            agenda.after(2, () -> ran.add("e" + agenda.now()));
+            agenda.schedule(0, () -> ran.add("c" + agenda.now()));
+            agenda.schedule(-3, () -> ran.add("d" + agenda.now()));
+            agenda.schedule(2, () -> ran.add("e" + agenda.now()));
         });
-        agenda.after(5, () -> ran.add("b" + agenda.now()));
+        agenda.schedule(5, () -> ran.add("b" + agenda.now()));
         agenda.runUntil(100);
         assertEquals(List.of("a5.0", "b5.0", "c5.0", "d5.0", "e7.0"), ran);
         assertTrue(agenda.now() == 100);
--- a/simhost/src/main/java/spanrill/simhost/Simhost.java
+++ b/simhost/src/main/java/spanrill/simhost/Simhost.java
@@ -17,9 +17,9 @@
 import spanrill.SessionControl.Server;
 import spanrill.SessionControl.ServerState;
 import spanrill.SessionControl.Settings;
-import spanrill.setup.Pairs;
-import spanrill.setup.SetupFault;
-import spanrill.setup.SetupReader;
+import spanrill.setup.FlattenedObject;
+import spanrill.setup.InvalidFieldException;
+import spanrill.setup.SettingsReader;
 
 /**
  * Speaks the users' bench: parses batches of events, hands each to the module of its instance, and writes the
@@ -140,12 +140,12 @@
 
     private void init(Line line, int who) {
         long seed = line.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE);
-        SetupReader reader = new SetupReader(new Pairs(pairs(line)));
+        SettingsReader reader = new SettingsReader(new FlattenedObject(pairs(line)));
         Settings settings;
         try {
             settings = reader.settings();
-        } catch (SetupFault fault) {
-            throw line.fault(fault.path(), fault.what());
+        } catch (InvalidFieldException fault) {
+            throw line.fault(fault.path(), fault.problem());
         }
         Control control = new Control(settings, seed, new WireActions(who));
         fronts.put(who, new Front(control, reader.reportNames()));
@@ -300,7 +300,7 @@
                 throw line.fault("usage", "has a value that is not a number: '" + item + "'");
             }
         }
-        return SetupReader.load(names, values);
+        return SettingsReader.load(names, values);
     }
 
     private <T> T pick(Line line, String field, Map<String, T> words) {
