--- a/node/src/main/java/spanrill/node/FrontNode.java
+++ b/node/src/main/java/spanrill/node/FrontNode.java
@@ -147,7 +147,7 @@
 
     private void begin(List<ServerListUpdate> known) {
         host.start();
-        servers.begin(host);
+        servers.start(host);
         known.forEach(event -> listed(event, event.whole() ? ListKind.KEPT : ListKind.CHANGES));
         begun = true;
         early.forEach(this::told);
@@ -172,18 +172,18 @@
             Server server = member.server();
             list.add(server);
             if (server.state() == ServerState.GONE) {
-                servers.gone(server.id());
+                servers.onServerGone(server.id());
             } else {
-                servers.listed(server.id(), member.address(), server.state() == ServerState.DRAINING);
+                servers.onServerListed(server.id(), member.address(), server.state() == ServerState.DRAINING);
                 if (!Double.isNaN(server.startedAt())) {
-                    host.restarted(server.id(), server.startedAt());
+                    host.onServerRestarted(server.id(), server.startedAt());
                 }
             }
         }
         if (kind != ListKind.CHANGES) {
-            servers.only(list);
+            servers.retainOnly(list);
         }
-        host.servers(kind, list);
+        host.updateServers(kind, list);
         // After the module has heard it: what comes back unsent goes elsewhere.
         servers.withdrawUnsent();
     }
@@ -216,8 +216,8 @@
                 sinceMs,
                 new GracefulShutdown.View(
                         viewers.size(),
-                        host.open(),
-                        host.moving() + servers.pendingReleases(),
+                        host.openRequests(),
+                        host.movingSessions() + servers.poolsWithPendingReleases(),
                         viewers.hasUnflushed() || servers.hasUnflushed()))) {
             // What has arrived is read first: a request that lies unread is not to cross the end.
             case DRAIN -> nextIteration.execute(() -> drain(began + shutdown.answerDeadlineMs(), NONE_ACCEPTED));
@@ -230,7 +230,7 @@
                         "connections",
                         viewers.size(),
                         "open",
-                        host.open());
+                        host.openRequests());
                 done.run();
             }
             default -> {}
@@ -244,7 +244,7 @@
             nextIteration.execute(() -> drain(answerBy, accepted));
             return;
         }
-        log.info("shutdown.drain", "connections", viewers.size(), "open", host.open());
+        log.info("shutdown.drain", "connections", viewers.size(), "open", host.openRequests());
         if (listening != null) {
             listening.close();
         }
@@ -258,7 +258,7 @@
 
     /** Sessions held, open or standing; may be asked from any thread. */
     public int sessionCount() {
-        return loop.submit(host::size).syncUninterruptibly().getNow();
+        return loop.submit(host::sessionCount).syncUninterruptibly().getNow();
     }
 
     /** The loop that all of it runs on: whoever holds it up decides what lies unread together. */
--- a/node/src/main/java/spanrill/node/WarmUp.java
+++ b/node/src/main/java/spanrill/node/WarmUp.java
@@ -17,7 +17,7 @@
 import spanrill.node.config.ServerListUpdate;
 import spanrill.node.session.Attempt;
 import spanrill.node.session.ClientLink;
-import spanrill.node.session.End;
+import spanrill.node.session.ReleaseReason;
 import spanrill.node.session.ServerSide;
 import spanrill.node.session.SessionHost;
 import spanrill.session.EventSink;
@@ -69,7 +69,7 @@
         for (ServerListUpdate event : config.known()) {
             List<Server> list = new ArrayList<>();
             event.members().forEach(member -> list.add(member.server()));
-            host.servers(event.whole() ? ListKind.KEPT : ListKind.CHANGES, list);
+            host.updateServers(event.whole() ? ListKind.KEPT : ListKind.CHANGES, list);
         }
         for (int i = 0; i < sessions; i++) {
             int number = i;
@@ -95,7 +95,7 @@
                 .with(Parameter.DESCRIPTION, "warm".getBytes(StandardCharsets.US_ASCII)));
         try {
             SetUp setUp = SetUp.of(message);
-            if (host.possible(setUp)) {
+            if (host.isAllowed(setUp)) {
                 host.setUp(setUp, viewer, setUp.waitMs());
                 asked++;
             }
@@ -122,13 +122,14 @@
                     .with(Parameter.DESCRIPTION, attempt.setUp().description()));
             time.schedule(ANSWER_MS, () -> {
                 if (attempt.session() % 40 == 0) {
-                    host.ended(attempt, Outcome.FULL, null);
+                    host.onAttemptEnded(attempt, Outcome.FULL, null);
                     return;
                 }
-                host.answered(attempt, message.get(Parameter.DESCRIPTION));
-                host.note(attempt.server(), attempt.session(), NoteKind.LINK_USE, 0.5);
-                host.note(attempt.server(), attempt.session(), NoteKind.UPLINK_USE, 0.6);
-                time.schedule(LASTS_MS, () -> host.over(attempt.server(), attempt.session(), Outcome.OK, null));
+                host.onAnswer(attempt, message.get(Parameter.DESCRIPTION));
+                host.onNote(attempt.server(), attempt.session(), NoteKind.LINK_USE, 0.5);
+                host.onNote(attempt.server(), attempt.session(), NoteKind.UPLINK_USE, 0.6);
+                time.schedule(
+                        LASTS_MS, () -> host.onSessionEnded(attempt.server(), attempt.session(), Outcome.OK, null));
             });
         }
 
@@ -141,35 +142,35 @@
         public void release(String server, long session) {}
 
         @Override
-        public void rung(String server, long session, int rung) {}
+        public void setRung(String server, long session, int rung) {}
 
         @Override
-        public void standing(String server, int sessions) {}
+        public void setEstablishedSessions(String server, int sessions) {}
     }
 
     private static final class Sink implements ClientLink {
         @Override
-        public boolean open() {
+        public boolean isWritable() {
             return true;
         }
 
         @Override
-        public void answer(long session, byte[] description) {
+        public void sendAnswer(long session, byte[] description) {
             through(new Message(MessageType.ANSWER, session).with(Parameter.DESCRIPTION, description));
         }
 
         @Override
-        public void withdrawn(long session) {}
+        public void requestWithdrawn(long session) {}
 
         @Override
-        public void release(long session, End end, double stayAwayMs) {
+        public void sendRelease(long session, ReleaseReason end, double stayAwayMs) {
             through(new Message(MessageType.RELEASE, session).withCause(16));
         }
 
         @Override
-        public void standing(boolean more) {}
+        public void establishedSessionsChanged(boolean more) {}
 
         @Override
-        public void move(long session) {}
+        public void sendMove(long session) {}
     }
 }
--- a/node/src/main/java/spanrill/node/client/ClientConnection.java
+++ b/node/src/main/java/spanrill/node/client/ClientConnection.java
@@ -19,7 +19,7 @@
 import spanrill.decisions.RecentAnswers;
 import spanrill.loop.Clock;
 import spanrill.node.session.ClientLink;
-import spanrill.node.session.End;
+import spanrill.node.session.ReleaseReason;
 import spanrill.node.session.SessionHost;
 import spanrill.wire.platform.Cause;
 import spanrill.wire.platform.InvalidFieldException;
@@ -127,8 +127,8 @@
         boolean useful =
                 switch (message.type()) {
                     case SET_UP -> setUp(message);
-                    case RELEASE -> free(message, host.released(message.session()));
-                    case RELEASE_ACKNOWLEDGED -> free(message, host.heard(message.session()));
+                    case RELEASE -> free(message, host.onClientRelease(message.session()));
+                    case RELEASE_ACKNOWLEDGED -> free(message, host.onReleaseAcknowledged(message.session()));
                     case TEST -> free(message, test(message));
                     default -> free(message, false);
                 };
@@ -160,13 +160,13 @@
             return reject(message.session(), fault.releaseCause(), fault.getMessage());
         }
         boolean stands = setUp.attributes().currentServer() != null;
-        if (host.knows(setUp.session())) {
+        if (host.hasSession(setUp.session())) {
             return stands || repeated(setUp.session());
         }
         if (!stands && recentAnswers.crossesAnswer(Clock.monotonicMs(), setUp.session())) {
             return ignore(setUp.session(), "it crossed its answer");
         }
-        if (!host.possible(setUp)) {
+        if (!host.isAllowed(setUp)) {
             return reject(setUp.session(), Cause.INVALID_CONTENTS, "not of these settings");
         }
         if (state.requestHandling() != ClientConnectionState.RequestHandling.SERVE) {
@@ -175,7 +175,7 @@
         proven = true;
         if (stands) {
             served = true;
-            host.standsAt(setUp, this);
+            host.takeOver(setUp, this);
             listener.good(this);
             return true;
         }
@@ -183,7 +183,7 @@
     }
 
     private boolean request(SetUp setUp) {
-        if (host.withdrawnBefore(setUp.session())) {
+        if (host.takeEarlyRelease(setUp.session())) {
             return reject(setUp.session(), Cause.TEMPORARY_FAILURE, "its viewer has withdrawn it");
         }
         double left = setUp.waitMs() - listener.unreadMs();
@@ -221,7 +221,7 @@
      * of the first, so a repetition on the connection of the first gets none of its own.
      */
     private boolean repeated(long session) {
-        if (!host.isOn(session, this)) {
+        if (!host.hasSessionOn(session, this)) {
             return reject(session, Cause.INVALID_REFERENCE, "the session is known");
         }
         return ignore(session, "a repetition");
@@ -249,12 +249,12 @@
     // ---- output
 
     @Override
-    public boolean open() {
+    public boolean isWritable() {
         return state.writable() && channel.isActive() && channel.isWritable();
     }
 
     @Override
-    public void answer(long session, byte[] description) {
+    public void sendAnswer(long session, byte[] description) {
         openRequests.remove(session);
         proven = true;
         served = true;
@@ -264,13 +264,13 @@
     }
 
     @Override
-    public void withdrawn(long session) {
+    public void requestWithdrawn(long session) {
         openRequests.remove(session);
         advance();
     }
 
     @Override
-    public void release(long session, End end, double stayAwayMs) {
+    public void sendRelease(long session, ReleaseReason end, double stayAwayMs) {
         openRequests.remove(session);
         release(
                 session,
@@ -279,17 +279,17 @@
                     case FAILED, CUT -> Cause.TEMPORARY_FAILURE;
                     case OVER -> Cause.NORMAL_CLEARING;
                 },
-                end == End.REFUSED ? stayAwayMs : 0);
+                end == ReleaseReason.REFUSED ? stayAwayMs : 0);
         advance();
     }
 
     @Override
-    public void standing(boolean more) {
+    public void establishedSessionsChanged(boolean more) {
         standing += more ? 1 : -1;
     }
 
     @Override
-    public void move(long session) {
+    public void sendMove(long session) {
         send(new Message(MessageType.MOVE, session));
     }
 
@@ -399,7 +399,7 @@
         }
         double now = Clock.monotonicMs();
         switch (state.nextStep(now, view(now))) {
-            case FAIL_OPEN_REQUESTS -> host.failAll(List.copyOf(openRequests));
+            case FAIL_OPEN_REQUESTS -> host.failOpenRequests(List.copyOf(openRequests));
             case READ_INPUT -> readFirst();
             case SHUT_DOWN_OUTPUT -> {
                 listener.closing(this);
@@ -428,7 +428,7 @@
         boolean fresh = messages == 0 && now - acceptedAt < REQUEST_UNDER_WAY_MS;
         return new ClientConnectionState.View(
                 openRequests.size(),
-                served && host.releasesPending(),
+                served && host.hasPendingReleases(),
                 hasUnflushed(),
                 begun || fresh,
                 written,
@@ -460,7 +460,7 @@
                 messages,
                 Clock.monotonicMs() - acceptedAt));
         decoder.release();
-        host.linkEnded(new ArrayList<>(openRequests));
+        host.onClientConnectionEnded(new ArrayList<>(openRequests));
         openRequests.clear();
     }
 
--- a/node/src/main/java/spanrill/node/client/ClientListener.java
+++ b/node/src/main/java/spanrill/node/client/ClientListener.java
@@ -212,7 +212,7 @@
 
     /** A connection on which a usual viewer was served: it can take what is owed. */
     void good(ClientConnection connection) {
-        host.linkReady(connection);
+        host.onClientConnectionReady(connection);
     }
 
     /** A connection that can take a release whose own is gone, or null. */
@@ -220,7 +220,7 @@
         List<ClientConnection> all = new ArrayList<>(connections);
         int chosen = ConnectionEviction.chooseRoute(
                 all.stream()
-                        .map(c -> new ConnectionEviction.Route(c.served() && c.open(), c.usefulAt()))
+                        .map(c -> new ConnectionEviction.Route(c.served() && c.isWritable(), c.usefulAt()))
                         .toList(),
                 all.indexOf(lastGiven));
         lastGiven = chosen == ConnectionEviction.NONE ? null : all.get(chosen);
--- a/node/src/main/java/spanrill/node/server/ConnectionPool.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPool.java
@@ -130,7 +130,7 @@
         int chosen = choice.select(seen, !replaced && keptLinks() < most && budget.open() < budget.limit());
         if (chosen == ConnectionSelector.NONE_AVAILABLE) {
             // A lack of room here says nothing against the server; that another has its address does.
-            host.ended(
+            host.onAttemptEnded(
                     attempt,
                     OutcomeTable.outcomeOf(Stage.CONNECTING, replaced ? Event.CONNECT_REFUSED : Event.POOL_EXHAUSTED),
                     null);
@@ -328,7 +328,7 @@
     private void dead(String why) {
         if (standing > 0) {
             log.info("server.lost", "server", id, "why", why, "sessions", standing);
-            host.lost(id);
+            host.onServerLost(id);
         }
     }
 
--- a/node/src/main/java/spanrill/node/server/ConnectionPools.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPools.java
@@ -47,13 +47,13 @@
     }
 
     /** Begins; what comes of attempts is told to the host. */
-    public void begin(SessionHost told) {
+    public void start(SessionHost told) {
         host = told;
         loop.scheduleAtFixedRate(this::onTick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     /** A server is listed at an address; {@code draining}: nothing new goes there. */
-    public void listed(String id, InetSocketAddress address, boolean draining) {
+    public void onServerListed(String id, InetSocketAddress address, boolean draining) {
         ConnectionPool listed = servers.computeIfAbsent(
                 id, i -> new ConnectionPool(i, address, loop, nextIteration, limits, budget, host, log, trace));
         listed.listed(address, draining);
@@ -66,7 +66,7 @@
     }
 
     /** The list says that a server is gone. */
-    public void gone(String id) {
+    public void onServerGone(String id) {
         ConnectionPool server = servers.get(id);
         if (server != null) {
             server.gone();
@@ -74,7 +74,7 @@
     }
 
     /** The whole list came: a server that is not on it is gone. */
-    public void only(List<spanrill.SessionControl.Server> list) {
+    public void retainOnly(List<spanrill.SessionControl.Server> list) {
         Set<String> named = new HashSet<>();
         list.forEach(server -> named.add(server.id()));
         servers.values().stream().filter(server -> !named.contains(server.id())).forEach(ConnectionPool::gone);
@@ -93,7 +93,7 @@
     }
 
     /** Connections on which a release is yet to go out, or the proof that it can't. */
-    public int pendingReleases() {
+    public int poolsWithPendingReleases() {
         return (int) servers.values().stream()
                 .filter(ConnectionPool::hasPendingReleases)
                 .count();
@@ -141,7 +141,7 @@
     private void send(Attempt attempt) {
         ConnectionPool server = servers.get(attempt.server());
         if (server == null) {
-            host.ended(attempt, Outcome.CONNECT_FAILED, null);
+            host.onAttemptEnded(attempt, Outcome.CONNECT_FAILED, null);
         } else if (server.leaving()) {
             unoffered(attempt);
         } else {
@@ -150,7 +150,7 @@
     }
 
     private void unoffered(Attempt attempt) {
-        host.ended(attempt, OutcomeTable.outcomeOf(Stage.CONNECTING, Event.POOL_EXHAUSTED), null);
+        host.onAttemptEnded(attempt, OutcomeTable.outcomeOf(Stage.CONNECTING, Event.POOL_EXHAUSTED), null);
     }
 
     @Override
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void rung(String id, long session, int rung) {
+    public void setRung(String id, long session, int rung) {
         ConnectionPool server = servers.get(id);
         // A set-up that is still to go out takes its rung with it.
         if (server != null && unsent.stream().noneMatch(attempt -> attempt.session() == session)) {
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void standing(String id, int sessions) {
+    public void setEstablishedSessions(String id, int sessions) {
         ConnectionPool server = servers.get(id);
         if (server != null) {
             server.standing(sessions);
--- a/node/src/main/java/spanrill/node/server/ServerConnection.java
+++ b/node/src/main/java/spanrill/node/server/ServerConnection.java
@@ -188,7 +188,7 @@
         SetUp asked = attempt.setUp();
         Message message = new Message(MessageType.SET_UP, attempt.session())
                 .with(Parameter.CLASS, asked.className())
-                .with(Parameter.WAIT, Long.toString(host.leftMs(attempt)))
+                .with(Parameter.WAIT, Long.toString(host.remainingMs(attempt)))
                 .with(Parameter.TITLE, asked.title())
                 .with(Parameter.DESCRIPTION, asked.description());
         if (attempt.rung() >= 0) {
@@ -201,7 +201,7 @@
         if (written.isDone() && !written.isSuccess() && nothingWaits) {
             // The operating system took no byte of it: proof that it never ran.
             open.remove(attempt.session());
-            host.ended(attempt, OutcomeTable.outcomeOf(Stage.CONNECTED, Event.RESET), null);
+            host.onAttemptEnded(attempt, OutcomeTable.outcomeOf(Stage.CONNECTED, Event.RESET), null);
         }
     }
 
@@ -224,7 +224,7 @@
             return true;
         }
         release(attempt.session());
-        suspect |= host.leftMs(attempt) <= 1;
+        suspect |= host.remainingMs(attempt) <= 1;
         return false;
     }
 
@@ -313,10 +313,10 @@
             // Framed well, yet no answer: what else comes here can't be trusted either.
             suspect = true;
             server.possiblyEstablished(attempt.session());
-            host.ended(attempt, Outcome.RESET, null);
+            host.onAttemptEnded(attempt, Outcome.RESET, null);
             return;
         }
-        host.answered(attempt, description);
+        host.onAnswer(attempt, description);
     }
 
     private void release(Message message) {
@@ -324,9 +324,10 @@
         Attempt attempt = open.remove(message.session());
         if (attempt != null) {
             usedAt = heardAt;
-            host.ended(attempt, ReleaseOutcomes.beforeAnswer(message.cause()), load(message));
+            host.onAttemptEnded(attempt, ReleaseOutcomes.beforeAnswer(message.cause()), load(message));
         } else {
-            host.over(server.id(), message.session(), ReleaseOutcomes.afterAnswer(message.cause()), load(message));
+            host.onSessionEnded(
+                    server.id(), message.session(), ReleaseOutcomes.afterAnswer(message.cause()), load(message));
         }
     }
 
@@ -350,7 +351,7 @@
                     default -> null;
                 };
         if (told != null && !Double.isNaN(value)) {
-            host.note(server.id(), message.session(), told, value);
+            host.onNote(server.id(), message.session(), told, value);
         }
     }
 
@@ -389,7 +390,7 @@
             if (!never) {
                 server.possiblyEstablished(attempt.session());
             }
-            host.ended(attempt, OutcomeTable.outcomeOf(never ? Stage.CONNECTING : Stage.WRITTEN, event), null);
+            host.onAttemptEnded(attempt, OutcomeTable.outcomeOf(never ? Stage.CONNECTING : Stage.WRITTEN, event), null);
         }
     }
 }
--- a/node/src/main/java/spanrill/node/session/ClientReleases.java
+++ b/node/src/main/java/spanrill/node/session/ClientReleases.java
@@ -18,7 +18,7 @@
     private final SerialExecutor executor;
     private final EventSink trace;
     private final Supplier<ClientLink> anyLink;
-    private final PendingReleases<End> owed = new PendingReleases<>(OWED_MS, HEARD_MS, TRIES, MOST_OWED);
+    private final PendingReleases<ReleaseReason> owed = new PendingReleases<>(OWED_MS, HEARD_MS, TRIES, MOST_OWED);
     private boolean looking;
 
     ClientReleases(SerialExecutor executor, EventSink trace, Supplier<ClientLink> anyLink) {
@@ -29,14 +29,14 @@
 
     /** The connection that reaches a session's viewer: its own while that is open, or null. */
     ClientLink linkTo(NodeSession session) {
-        return session.link.open() ? session.link : anyLink.get();
+        return session.link.isWritable() ? session.link : anyLink.get();
     }
 
     /** A session that stood is over. */
-    void tell(NodeSession session, End end) {
+    void tell(NodeSession session, ReleaseReason end) {
         ClientLink link = linkTo(session);
         trace.info("tellOver", "id", session.name(), "end", end, "own", link == session.link, "link", link != null);
-        PendingReleases.PendingRelease<End> one = owed.add(executor.now(), session.id(), end);
+        PendingReleases.PendingRelease<ReleaseReason> one = owed.add(executor.now(), session.id(), end);
         if (link != null) {
             send(one, link);
         }
@@ -60,9 +60,9 @@
         return owed.size();
     }
 
-    private void send(PendingReleases.PendingRelease<End> one, ClientLink link) {
+    private void send(PendingReleases.PendingRelease<ReleaseReason> one, ClientLink link) {
         owed.markSent(executor.now(), one);
-        link.release(one.session(), one.end(), 0);
+        link.sendRelease(one.session(), one.end(), 0);
     }
 
     private void look() {
--- a/node/src/main/java/spanrill/node/session/EstablishedSessions.java
+++ b/node/src/main/java/spanrill/node/session/EstablishedSessions.java
@@ -19,20 +19,20 @@
     void add(NodeSession session, double now) {
         Set<NodeSession> there = byServer.computeIfAbsent(session.server, s -> new LinkedHashSet<>());
         there.add(session);
-        session.link.standing(true);
+        session.link.establishedSessionsChanged(true);
         session.standsSince = now;
-        servers.standing(session.server, there.size());
+        servers.setEstablishedSessions(session.server, there.size());
     }
 
     /** A session that stood is over. */
     void remove(NodeSession session) {
-        session.link.standing(false);
+        session.link.establishedSessionsChanged(false);
         Set<NodeSession> there = byServer.get(session.server);
         if (there != null && there.remove(session)) {
             if (there.isEmpty()) {
                 byServer.remove(session.server);
             }
-            servers.standing(session.server, there.size());
+            servers.setEstablishedSessions(session.server, there.size());
         }
     }
 
--- a/node/src/main/java/spanrill/node/session/ModuleActions.java
+++ b/node/src/main/java/spanrill/node/session/ModuleActions.java
@@ -60,14 +60,14 @@
             fail(request);
             return;
         }
-        host.answer(session, Event.REFUSE, End.REFUSED, retryAfterMs);
+        host.answer(session, Event.REFUSE, ReleaseReason.REFUSED, retryAfterMs);
     }
 
     @Override
     public void fail(String request) {
         NodeSession session = sessions.apply(request);
         if (session != null && session.state().allows(Event.FAIL)) {
-            host.answer(session, Event.FAIL, End.FAILED, 0);
+            host.answer(session, Event.FAIL, ReleaseReason.FAILED, 0);
         }
     }
 
--- a/node/src/main/java/spanrill/node/session/End.java
+++ b/node/src/main/java/spanrill/node/session/ReleaseReason.java
@@ -1,7 +1,7 @@
 package spanrill.node.session;
 
 /** What a viewer is told when a session does not stand, or no longer. */
-public enum End {
+public enum ReleaseReason {
     /** Refused: trying again is harmless. */
     REFUSED,
     /** Failed, with no assurance about its effect. */
--- a/node/src/main/java/spanrill/node/session/ServerSide.java
+++ b/node/src/main/java/spanrill/node/session/ServerSide.java
@@ -16,8 +16,8 @@
     void release(String server, long session);
 
     /** Sets the rung of a session that is being set up or stands. */
-    void rung(String server, long session, int rung);
+    void setRung(String server, long session, int rung);
 
     /** Sessions stand at a server, or no longer: news of them must be able to arrive. */
-    void standing(String server, int sessions);
+    void setEstablishedSessions(String server, int sessions);
 }
--- a/node/src/main/java/spanrill/node/session/SessionHost.java
+++ b/node/src/main/java/spanrill/node/session/SessionHost.java
@@ -100,7 +100,7 @@
     }
 
     /** A list of servers came. */
-    public void servers(ListKind kind, List<Server> list) {
+    public void updateServers(ListKind kind, List<Server> list) {
         if (kind == ListKind.WHOLE || kind == ListKind.KEPT) {
             listed.clear();
         }
@@ -117,17 +117,17 @@
     // ---- viewers
 
     /** True when the settings have such a class, cells, copies and a rung as this asks for. */
-    public boolean possible(SetUp setUp) {
+    public boolean isAllowed(SetUp setUp) {
         return limits.allow(setUp);
     }
 
     /** True while a session has this id. */
-    public boolean knows(long id) {
+    public boolean hasSession(long id) {
         return sessions.containsKey(id);
     }
 
     /** True while a session has this id that was set up on this connection. */
-    public boolean isOn(long id, ClientLink link) {
+    public boolean hasSessionOn(long id, ClientLink link) {
         NodeSession session = sessions.get(id);
         return session != null && session.link == link;
     }
@@ -152,7 +152,7 @@
     }
 
     /** A session that plays at a server already. */
-    public void standsAt(SetUp setUp, ClientLink link) {
+    public void takeOver(SetUp setUp, ClientLink link) {
         NodeSession session = new NodeSession(setUp, link, limits.once(setUp.className()));
         session.server = setUp.attributes().currentServer();
         trace.info("takenOver", "id", session.name(), "server", session.server);
@@ -166,24 +166,24 @@
         executor.execute(now -> control.takenOver(now, request, session.server));
         EarlyEnd ended = endedEarly.remove(scheduler.now(), session.name());
         if (ended != null && ended.server().equals(session.server)) {
-            over(session.server, session.id(), ended.outcome(), null);
-        } else if (withdrawnBefore(session.id())) {
+            onSessionEnded(session.server, session.id(), ended.outcome(), null);
+        } else if (takeEarlyRelease(session.id())) {
             // Its viewer ended it while no node held it: its server has not heard of that.
-            released(session.id());
+            onClientRelease(session.id());
         } else if (!listed.contains(session.server)) {
             executor.schedule(UNLISTED_MS, now -> unlisted(session));
         }
     }
 
     /** True, once, when its viewer released it before it was known here: no answer is owed. */
-    public boolean withdrawnBefore(long id) {
+    public boolean takeEarlyRelease(long id) {
         return releasedEarly.remove(scheduler.now(), HexFormat.of().toHexDigits(id)) != null;
     }
 
     /** Guards against sessions said to play at servers that don't exist: they would stand for good. */
     private void unlisted(NodeSession session) {
         if (session.state().isEstablished() && !listed.contains(session.server)) {
-            over(session.server, session.id(), Outcome.RESET, null);
+            onSessionEnded(session.server, session.id(), Outcome.RESET, null);
         }
     }
 
@@ -205,7 +205,7 @@
     }
 
     /** A viewer gives a set-up up or ends its session; true when there was one. */
-    public boolean released(long id) {
+    public boolean onClientRelease(long id) {
         NodeSession session = sessions.get(id);
         trace.info("viewerReleases", "id", session == null ? id : session.name(), "known", session != null);
         if (session == null) {
@@ -219,14 +219,14 @@
             over(session);
             servers.release(server, id);
             // A give-up may have crossed the answer: the viewer then holds a session that is over.
-            releases.tell(session, End.OVER);
+            releases.tell(session, ReleaseReason.OVER);
             executor.execute(now -> control.gone(now, session.name()));
         }
         return true;
     }
 
     /** A viewers' connection ended: the set-ups open on it are given up. */
-    public void linkEnded(List<Long> ids) {
+    public void onClientConnectionEnded(List<Long> ids) {
         for (long id : ids) {
             NodeSession session = sessions.get(id);
             if (session != null && session.state().isAnswerPending()) {
@@ -241,29 +241,29 @@
             servers.giveUp(session.attempt);
         }
         forget(session);
-        session.link.withdrawn(session.id());
+        session.link.requestWithdrawn(session.id());
         executor.execute(now -> control.gone(now, session.name()));
     }
 
     /** A viewers' connection can take what is owed. */
-    public void linkReady(ClientLink link) {
+    public void onClientConnectionReady(ClientLink link) {
         releases.ready(link);
     }
 
     /** A viewer has heard the release of its session; true when that was owed. */
-    public boolean heard(long id) {
+    public boolean onReleaseAcknowledged(long id) {
         return releases.heard(id);
     }
 
     // ---- servers
 
     /** Whole milliseconds until an attempt is given up, 1 at least. */
-    public long leftMs(Attempt attempt) {
+    public long remainingMs(Attempt attempt) {
         return Math.max(1, (long) (attempt.until() - scheduler.now()));
     }
 
     /** An attempt was answered: the session stands. */
-    public void answered(Attempt attempt, byte[] description) {
+    public void onAnswer(Attempt attempt, byte[] description) {
         NodeSession session = attempt.owner();
         if (session.attempt != attempt) {
             return;
@@ -273,14 +273,14 @@
         double took = scheduler.now() - session.sentAt;
         trace.info("plays", "id", session.name(), "server", session.server, "took", took);
         // The answer goes out before anything else is done: the viewer's time runs.
-        session.link.answer(session.id(), description);
+        session.link.sendAnswer(session.id(), description);
         session.settled();
         established.add(session, scheduler.now());
         executor.execute(now -> control.playing(now, session.name(), session.server, took));
     }
 
     /** An attempt ended before its answer. */
-    public void ended(Attempt attempt, Outcome outcome, Load load) {
+    public void onAttemptEnded(Attempt attempt, Outcome outcome, Load load) {
         NodeSession session = attempt.owner();
         if (session.attempt != attempt) {
             return;
@@ -293,7 +293,7 @@
     }
 
     /** A session that stood has ended at its server. */
-    public void over(String server, long id, Outcome outcome, Load load) {
+    public void onSessionEnded(String server, long id, Outcome outcome, Load load) {
         NodeSession session = sessions.get(id);
         trace.info(
                 "over",
@@ -314,25 +314,25 @@
         }
         over(session);
         if (outcome != Outcome.CANCELLED) {
-            releases.tell(session, outcome == Outcome.OK ? End.OVER : End.CUT);
+            releases.tell(session, outcome == Outcome.OK ? ReleaseReason.OVER : ReleaseReason.CUT);
         }
         executor.execute(now -> control.ended(now, session.name(), true, outcome, server, load));
     }
 
     /** A server is gone with all that stood there. */
-    public void lost(String server) {
-        restarted(server, Double.POSITIVE_INFINITY);
+    public void onServerLost(String server) {
+        onServerRestarted(server, Double.POSITIVE_INFINITY);
     }
 
     /** A server started anew at a time, ms on the scheduler's clock: what stood there before is gone. */
-    public void restarted(String server, double startedAt) {
+    public void onServerRestarted(String server, double startedAt) {
         for (NodeSession session : established.at(server, startedAt)) {
-            over(server, session.id(), Outcome.RESET, null);
+            onSessionEnded(server, session.id(), Outcome.RESET, null);
         }
     }
 
     /** A note about a session that stands. */
-    public void note(String server, long id, NoteKind kind, double value) {
+    public void onNote(String server, long id, NoteKind kind, double value) {
         NodeSession session = sessions.get(id);
         if (session != null && server.equals(session.server)) {
             if (kind == NoteKind.RUNG && !limits.isRung(value)) {
@@ -344,24 +344,24 @@
     }
 
     /** Requests whose answer is owed. */
-    public int open() {
+    public int openRequests() {
         return (int) sessions.values().stream()
                 .filter(s -> s.state().isAnswerPending())
                 .count();
     }
 
     /** True while a client has yet to be told of the end of a session, or may have to be. */
-    public boolean releasesPending() {
+    public boolean hasPendingReleases() {
         return moved.size() > 0 || releases.size() > 0;
     }
 
     /** Moved sessions whose server has yet to say that they are over, or to be told so. */
-    public int moving() {
+    public int movingSessions() {
         return moved.size();
     }
 
     /** Fails those of these requests that are still open. */
-    public void failAll(List<Long> ids) {
+    public void failOpenRequests(List<Long> ids) {
         executor.execute(now -> ids.forEach(id -> {
             NodeSession session = sessions.get(id);
             if (session != null) {
@@ -379,7 +379,7 @@
     }
 
     /** Sessions held, open or standing. */
-    public int size() {
+    public int sessionCount() {
         return sessions.size();
     }
 
@@ -418,7 +418,7 @@
             session.attemptOver();
             session.state().attemptEnded(timedOut(unsent));
         }
-        answer(session, Event.FAIL, End.FAILED, 0);
+        answer(session, Event.FAIL, ReleaseReason.FAILED, 0);
         control.gone(now, session.name());
     }
 
@@ -429,16 +429,16 @@
     private void unmoved(NodeSession session, String server) {
         if (moved.remove(session.id())) {
             servers.release(server, session.id());
-            releases.tell(session, End.CUT);
+            releases.tell(session, ReleaseReason.CUT);
         }
     }
 
     /** Gives a request its final answer. */
-    void answer(NodeSession session, Event event, End end, double stayAwayMs) {
+    void answer(NodeSession session, Event event, ReleaseReason end, double stayAwayMs) {
         trace.info("answer", "id", session.name(), "end", end, "stayAway", stayAwayMs);
         session.state().apply(event);
         forget(session);
-        session.link.release(session.id(), end, stayAwayMs);
+        session.link.sendRelease(session.id(), end, stayAwayMs);
     }
 
     // ---- what the module asks for
@@ -465,14 +465,14 @@
     private void timeOut(Attempt attempt) {
         if (attempt.owner().attempt == attempt) {
             // The give-up leaves before any further attempt of the session can.
-            ended(attempt, timedOut(servers.giveUp(attempt)), null);
+            onAttemptEnded(attempt, timedOut(servers.giveUp(attempt)), null);
         }
     }
 
     /** Tells the server that holds a session, or is being asked to, of its rung. */
     void rung(NodeSession session) {
         String server = session.attempt != null ? session.attempt.server() : session.server;
-        servers.rung(server, session.id(), session.rung);
+        servers.setRung(server, session.id(), session.rung);
     }
 
     /** Ends a session that stands; its client comes again. */
@@ -483,7 +483,7 @@
         trace.info("move", "id", session.name(), "server", server);
         ClientLink link = releases.linkTo(session);
         if (link != null) {
-            link.move(session.id());
+            link.sendMove(session.id());
         }
         executor.schedule(link == null ? 0 : MOVED_MS, now -> unmoved(session, server));
         executor.execute(now -> control.ended(now, session.name(), true, Outcome.CANCELLED, server, null));
--- a/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
+++ b/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
@@ -17,7 +17,7 @@
 import spanrill.wire.platform.MessageType;
 
 /** Every request that a connection delivered gets its final answer, whatever else happens on it. */
-class AcceptedRequestsTest extends NodeBench {
+class AcceptedRequestsTest extends FrontNodeTestBase {
     /** More than any count of messages that the node tolerated on one connection in release e8d634c. */
     private static final int MANY = 40;
     /** The longest deadline of {@link TestConfig} and the protocol's 0.7 s. */
@@ -42,9 +42,9 @@
     @ParameterizedTest
     @EnumSource
     void anOpenRequestOutlives(Habit habit) throws Exception {
-        long innocent = ids + 1;
+        long innocent = lastSessionId + 1;
         CountDownLatch arrived = new CountDownLatch(1);
-        both((wire, message) -> {
+        onSetUpAtBoth((wire, message) -> {
             if (message.session() == innocent) {
                 arrived.countDown();
             } else {
@@ -52,22 +52,22 @@
                 wire.send(new Message(MessageType.RELEASE, message.session()).withCause(34));
             }
         });
-        Wire client = viewer();
-        assertEquals(innocent, ask(client, "free"));
-        ScriptedServer.Got open = atServer();
-        assertTrue(arrived.await(SOON, TimeUnit.MILLISECONDS));
+        TestConnection client = connectViewer();
+        assertEquals(innocent, sendSetUp(client, "free"));
+        ScriptedServer.ReceivedMessage open = awaitSetUpAtServers();
+        assertTrue(arrived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         behave(habit, client, innocent);
-        settle();
-        assertFalse(client.endsWithin(100), "the connection stays open");
-        one.answer(open.wire(), open.message());
-        Message answer = answer(client, SOON);
+        awaitLoopIterations();
+        assertFalse(client.awaitEnd(100), "the connection stays open");
+        firstServer.sendAnswer(open.connection(), open.message());
+        Message answer = awaitAnswer(client, TIMEOUT_MS);
         assertEquals(innocent, answer.session());
         assertEquals(MessageType.ANSWER, answer.type());
     }
 
-    private void behave(Habit habit, Wire client, long innocent) throws Exception {
+    private void behave(Habit habit, TestConnection client, long innocent) throws Exception {
         if (habit == Habit.REPEATS_THE_ID) {
-            client.send(setUp(innocent, "free", ""));
+            client.send(setUpMessage(innocent, "free", ""));
             return;
         }
         for (int i = 0; i < MANY; i++) {
@@ -75,8 +75,8 @@
                 case ACKNOWLEDGES -> client.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, refused(client)));
                 case CANCELS_LATE -> client.send(new Message(MessageType.RELEASE, refused(client)).withCause(16));
                 case ASKS_FOR_UNKNOWN_CLASSES -> {
-                    client.send(setUp(9000 + i, "gold", ""));
-                    assertEquals(9000 + i, client.next(SOON).session());
+                    client.send(setUpMessage(9000 + i, "gold", ""));
+                    assertEquals(9000 + i, client.awaitMessage(TIMEOUT_MS).session());
                 }
                 default -> client.send(new Message(MessageType.PROGRESS, innocent));
             }
@@ -84,9 +84,9 @@
     }
 
     /** A request that both servers turn away. */
-    private long refused(Wire client) throws InterruptedException {
-        long id = ask(client, "free");
-        Message answer = answer(client, SOON);
+    private long refused(TestConnection client) throws InterruptedException {
+        long id = sendSetUp(client, "free");
+        Message answer = awaitAnswer(client, TIMEOUT_MS);
         assertEquals(id, answer.session());
         assertEquals(MessageType.RELEASE, answer.type());
         return id;
@@ -95,14 +95,14 @@
     /** Both lie unread together: the repetition was sent before its client could know of the answer. */
     @Test
     void aRepetitionThatCrossesItsAnswerGetsNoSecondOne() throws Exception {
-        Wire client = viewer();
-        whileHeld(() -> {
-            client.send(setUp(9001, "gold", ""));
-            client.send(setUp(9001, "free", ""));
+        TestConnection client = connectViewer();
+        whileLoopIsBlocked(() -> {
+            client.send(setUpMessage(9001, "gold", ""));
+            client.send(setUpMessage(9001, "free", ""));
         });
-        assertEquals(100, client.next(SOON).cause());
-        assertNull(client.next(100), "a second answer");
-        playing(client, "free");
+        assertEquals(100, client.awaitMessage(TIMEOUT_MS).cause());
+        assertNull(client.awaitMessage(100), "a second answer");
+        establishSession(client, "free");
     }
 
     /**
@@ -112,16 +112,16 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 600, 1000})
     void requestsDuringAShutdownAreAnsweredBeforeTheKill(int hangFromMs) throws Exception {
-        Wire client = viewer();
-        playing(client, "paid");
+        TestConnection client = connectViewer();
+        establishSession(client, "paid");
         long stopped = System.nanoTime();
-        one.onSetUp((wire, message) -> answerUntil(stopped, hangFromMs, one, wire, message));
-        two.onSetUp((wire, message) -> answerUntil(stopped, hangFromMs, two, wire, message));
+        firstServer.onSetUp((wire, message) -> answerUntil(stopped, hangFromMs, firstServer, wire, message));
+        secondServer.onSetUp((wire, message) -> answerUntil(stopped, hangFromMs, secondServer, wire, message));
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
         int owed = 0;
-        while (!client.endsWithin(PACE_MS) && msSince(stopped) < KILL_MS - 100) {
-            ask(client, owed % 2 == 0 ? "free" : "paid");
+        while (!client.awaitEnd(PACE_MS) && msSince(stopped) < KILL_MS - 100) {
+            sendSetUp(client, owed % 2 == 0 ? "free" : "paid");
             owed++;
         }
         long left = KILL_MS - msSince(stopped);
@@ -129,16 +129,17 @@
         // What crossed the end of the connection within 50 ms is sent again elsewhere.
         int crossed = (int) (50 / PACE_MS) + 1;
         int answered = 0;
-        for (Message next = client.next(1); next != null; next = client.next(1)) {
+        for (Message next = client.awaitMessage(1); next != null; next = client.awaitMessage(1)) {
             judge.receivedByViewer(next);
             answered++;
         }
         assertTrue(answered >= owed - crossed, answered + " of " + owed + " were answered");
     }
 
-    private static void answerUntil(long stopped, int hangFromMs, ScriptedServer server, Wire wire, Message message) {
+    private static void answerUntil(
+            long stopped, int hangFromMs, ScriptedServer server, TestConnection wire, Message message) {
         if (msSince(stopped) < hangFromMs) {
-            server.answer(wire, message);
+            server.sendAnswer(wire, message);
         }
     }
 
@@ -148,25 +149,26 @@
      */
     @Test
     void aRequestUnreadBehindTheLastAnswerIsRefused() throws Exception {
-        both((wire, message) -> {});
+        onSetUpAtBoth((wire, message) -> {});
         HoldingLog log = new HoldingLog("discovery.malformed");
-        NodeConfig config = config(discovery.port(), one.member("SERVING"), two.member("SERVING"));
-        discovery.next(SOON);
+        NodeConfig config =
+                createConfig(discovery.port(), firstServer.listEntry("SERVING"), secondServer.listEntry("SERVING"));
+        discovery.awaitRequest(TIMEOUT_MS);
         node.close();
         node = FrontNode.start(config, log, EventSink.none());
-        ScriptedDiscovery.Asked stream = discovery.next(SOON);
-        Wire client = viewer();
+        ScriptedDiscovery.StreamRequest stream = discovery.awaitRequest(TIMEOUT_MS);
+        TestConnection client = connectViewer();
         node.stop(() -> {});
-        assertNull(client.next(850));
-        long last = ask(client, "paid");
-        assertNull(client.next(1050), "open until 0.2 s before the kill");
+        assertNull(client.awaitMessage(850));
+        long last = sendSetUp(client, "paid");
+        assertNull(client.awaitMessage(1050), "open until 0.2 s before the kill");
         stream.write("id: 2\ndata: nonsense\n\n");
         log.awaitHeld();
-        long unread = ask(client, "free");
-        assertNull(client.next(150));
+        long unread = sendSetUp(client, "free");
+        assertNull(client.awaitMessage(150));
         log.release();
-        assertEquals(last, answer(client, SOON).session());
-        Message refusal = answer(client, SOON);
+        assertEquals(last, awaitAnswer(client, TIMEOUT_MS).session());
+        Message refusal = awaitAnswer(client, TIMEOUT_MS);
         assertEquals(unread, refusal.session());
         assertEquals(42, refusal.cause());
     }
@@ -182,7 +184,7 @@
         }
 
         void awaitHeld() throws InterruptedException {
-            assertTrue(held.await(SOON, TimeUnit.MILLISECONDS));
+            assertTrue(held.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
 
         void release() {
@@ -208,23 +210,23 @@
     /** Nothing else tells clients to go elsewhere: what they send as the process ends would be lost. */
     @Test
     void noConnectionIsOpenWhenTheProcessEnds() throws Exception {
-        Wire busy = viewer();
-        Wire idle = viewer();
-        playing(idle, "free");
+        TestConnection busy = connectViewer();
+        TestConnection idle = connectViewer();
+        establishSession(idle, "free");
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
         int asked = 0;
-        while (!busy.endsWithin(PACE_MS) && done.getCount() > 0) {
-            ask(busy, "free");
+        while (!busy.awaitEnd(PACE_MS) && done.getCount() > 0) {
+            sendSetUp(busy, "free");
             asked++;
-            if (busy.next(SOON) == null) {
+            if (busy.awaitMessage(TIMEOUT_MS) == null) {
                 break;
             }
         }
         assertTrue(asked > 10, "it serves while requests may come");
         assertTrue(done.await(KILL_MS, TimeUnit.MILLISECONDS));
-        assertTrue(busy.endsWithin(1), "the busy connection was ended before the process");
-        assertTrue(idle.endsWithin(1), "the idle connection was ended before the process");
+        assertTrue(busy.awaitEnd(1), "the busy connection was ended before the process");
+        assertTrue(idle.awaitEnd(1), "the idle connection was ended before the process");
     }
 
     private static long msSince(long nanos) {
--- a/node/src/test/java/spanrill/node/HostileServersTest.java
+++ b/node/src/test/java/spanrill/node/FaultyServersTest.java
@@ -13,31 +13,32 @@
 import spanrill.wire.platform.Parameter;
 
 /** Servers whose answers are spoilt, late, doubled or missing. */
-class HostileServersTest extends NodeBench {
+class FaultyServersTest extends FrontNodeTestBase {
     @Test
     void anUnreadableAnswerIsALossAndTheSessionGoesElsewhere() throws Exception {
-        one.onSetUp((wire, message) -> wire.raw(new byte[] {0, 1, 9, 9, 9}));
-        two.onSetUp((wire, message) -> wire.raw("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
-        Wire viewer = viewer();
-        long paid = ask(viewer, "paid");
-        assertEquals(41, answer(viewer, SOON).cause(), "it may have run: failed, not refused");
+        firstServer.onSetUp((wire, message) -> wire.sendRaw(new byte[] {0, 1, 9, 9, 9}));
+        secondServer.onSetUp(
+                (wire, message) -> wire.sendRaw("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
+        TestConnection viewer = connectViewer();
+        long paid = sendSetUp(viewer, "paid");
+        assertEquals(41, awaitAnswer(viewer, TIMEOUT_MS).cause(), "it may have run: failed, not refused");
         assertEquals(List.of(), judge.violations(paid));
-        one.onSetUp(one::answer);
-        two.onSetUp(two::answer);
+        firstServer.onSetUp(firstServer::sendAnswer);
+        secondServer.onSetUp(secondServer::sendAnswer);
     }
 
     @Test
     void aFreeSessionIsSentAgainAfterALoss() throws Exception {
         boolean[] lost = new boolean[1];
-        both((wire, message) -> {
+        onSetUpAtBoth((wire, message) -> {
             if (!lost[0]) {
                 lost[0] = true;
                 wire.reset();
             } else {
-                one.answer(wire, message);
+                firstServer.sendAnswer(wire, message);
             }
         });
-        playing(viewer(), "free");
+        establishSession(connectViewer(), "free");
         assertTrue(lost[0]);
     }
 
@@ -45,7 +46,7 @@
     @Test
     void proofLetsAPaidSessionGoElsewhere() throws Exception {
         boolean[] full = new boolean[1];
-        both((wire, message) -> {
+        onSetUpAtBoth((wire, message) -> {
             if (!full[0]) {
                 full[0] = true;
                 judge.nonExecutionProved(message.session());
@@ -53,57 +54,57 @@
                         .withCause(34)
                         .with(Parameter.LOAD_REPORT, "x0:1.3;x1:noise"));
             } else {
-                one.answer(wire, message);
+                firstServer.sendAnswer(wire, message);
             }
         });
-        playing(viewer(), "paid");
-        one.close();
+        establishSession(connectViewer(), "paid");
+        firstServer.close();
         for (int i = 0; i < 4; i++) {
-            Wire viewer = viewer();
-            ask(viewer, "paid");
-            Message answer = answer(viewer, SOON);
+            TestConnection viewer = connectViewer();
+            sendSetUp(viewer, "paid");
+            Message answer = awaitAnswer(viewer, TIMEOUT_MS);
             assertTrue(answer.type() == MessageType.ANSWER || answer.cause() == 42, "served by the other");
         }
     }
 
     @Test
     void copiesAndAnswersForOthersAreNotPassedOn() throws Exception {
-        both((wire, message) -> {
+        onSetUpAtBoth((wire, message) -> {
             wire.send(new Message(MessageType.ANSWER, 424242).with(Parameter.DESCRIPTION, "ahead"));
-            one.answer(wire, message);
-            one.answer(wire, message);
+            firstServer.sendAnswer(wire, message);
+            firstServer.sendAnswer(wire, message);
             wire.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, "other"));
         });
-        Wire viewer = viewer();
+        TestConnection viewer = connectViewer();
         for (int i = 0; i < 5; i++) {
-            playing(viewer, "paid");
+            establishSession(viewer, "paid");
         }
-        assertNull(viewer.next(100));
+        assertNull(viewer.awaitMessage(100));
     }
 
     /** Late answers are usual: their number over the life of a connection ends nothing that is open on it. */
     @Test
     void unsolicitedAnswersEndNoConnectionUnderAnAttempt() throws Exception {
-        both((wire, message) -> {});
-        Wire viewer = viewer();
-        long id = ask(viewer, "paid");
-        ScriptedServer.Got open = atServer();
+        onSetUpAtBoth((wire, message) -> {});
+        TestConnection viewer = connectViewer();
+        long id = sendSetUp(viewer, "paid");
+        ScriptedServer.ReceivedMessage open = awaitSetUpAtServers();
         for (int i = 1; i <= 80; i++) {
-            open.wire().send(new Message(MessageType.ANSWER, 70_000 + i).with(Parameter.DESCRIPTION, "late"));
+            open.connection().send(new Message(MessageType.ANSWER, 70_000 + i).with(Parameter.DESCRIPTION, "late"));
         }
-        one.answer(open.wire(), open.message());
-        Message answer = answer(viewer, SOON);
+        firstServer.sendAnswer(open.connection(), open.message());
+        Message answer = awaitAnswer(viewer, TIMEOUT_MS);
         assertEquals(id, answer.session());
         assertEquals(MessageType.ANSWER, answer.type());
     }
 
     @Test
     void aServerThatStaysSilentIsGivenUpAndTheAnswerComesInTime() throws Exception {
-        both((wire, message) -> {});
-        Wire viewer = viewer();
+        onSetUpAtBoth((wire, message) -> {});
+        TestConnection viewer = connectViewer();
         long began = System.nanoTime();
-        ask(viewer, "paid");
-        Message answer = answer(viewer, SOON);
+        sendSetUp(viewer, "paid");
+        Message answer = awaitAnswer(viewer, TIMEOUT_MS);
         assertEquals(41, answer.cause());
         assertTrue((System.nanoTime() - began) / 1_000_000 < 1600, "by the viewer's deadline");
     }
@@ -111,42 +112,46 @@
     /** Before the server's idle time, so that no paid set-up crosses the server's close. */
     @Test
     void idleConnectionsAreDroppedHere() throws Exception {
-        Wire viewer = viewer();
-        long id = ask(viewer, "free");
-        ScriptedServer.Got got = atServer();
-        answer(viewer, SOON);
-        got.wire().send(new Message(MessageType.RELEASE, id).withCause(16));
-        assertTrue(got.wire().endsWithin(2800), "servers here close after 3 s");
+        TestConnection viewer = connectViewer();
+        long id = sendSetUp(viewer, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        awaitAnswer(viewer, TIMEOUT_MS);
+        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        assertTrue(got.connection().awaitEnd(2800), "servers here close after 3 s");
     }
 
     @Test
     void aServerThatFallsSilentIsTested() throws Exception {
-        Wire viewer = viewer();
-        ask(viewer, "free");
-        ScriptedServer.Got got = atServer();
-        ScriptedServer at = answer(viewer, SOON).text(Parameter.DESCRIPTION).startsWith("s-1") ? one : two;
-        ScriptedServer.Got test = at.next(MessageType.TEST, 4000);
+        TestConnection viewer = connectViewer();
+        sendSetUp(viewer, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer at =
+                awaitAnswer(viewer, TIMEOUT_MS).text(Parameter.DESCRIPTION).startsWith("s-1")
+                        ? firstServer
+                        : secondServer;
+        ScriptedServer.ReceivedMessage test = at.awaitMessage(MessageType.TEST, 4000);
         assertNotNull(test, "no note for longer than two of them");
-        test.wire().send(new Message(MessageType.TEST_RESULT, test.message().session()).withCause(1));
-        assertNull(viewer.next(300), "it lives: its session stands");
+        test.connection()
+                .send(new Message(MessageType.TEST_RESULT, test.message().session()).withCause(1));
+        assertNull(viewer.awaitMessage(300), "it lives: its session stands");
         assertNotNull(got);
     }
 
     /** An answer that breaks off is a loss at the time-out, and the connection takes nothing new. */
     @Test
     void anAnswerThatStopsShortIsGivenUpAndItsConnectionClosed() throws Exception {
-        List<Wire> spoilt = new java.util.concurrent.CopyOnWriteArrayList<>();
-        both((wire, message) -> {
+        List<TestConnection> spoilt = new java.util.concurrent.CopyOnWriteArrayList<>();
+        onSetUpAtBoth((wire, message) -> {
             if (spoilt.isEmpty()) {
                 spoilt.add(wire);
-                wire.raw(new byte[] {0, 40, 9, 0, 0, 0});
+                wire.sendRaw(new byte[] {0, 40, 9, 0, 0, 0});
             } else if (!spoilt.contains(wire)) {
-                one.answer(wire, message);
+                firstServer.sendAnswer(wire, message);
             }
         });
-        Wire viewer = viewer();
-        playing(viewer, "free");
-        assertTrue(spoilt.get(0).endsWithin(SOON));
-        playing(viewer, "free");
+        TestConnection viewer = connectViewer();
+        establishSession(viewer, "free");
+        assertTrue(spoilt.get(0).awaitEnd(TIMEOUT_MS));
+        establishSession(viewer, "free");
     }
 }
--- a/node/src/test/java/spanrill/node/FrontNodeTest.java
+++ b/node/src/test/java/spanrill/node/FrontNodeTest.java
@@ -17,33 +17,33 @@
 import spanrill.wire.platform.Parameter;
 
 /** The node's whole path: calm service, servers that end, discovery, a stop. */
-class FrontNodeTest extends NodeBench {
+class FrontNodeTest extends FrontNodeTestBase {
     // ---- calm service
 
     @Test
     void aSessionIsSetUpPlaysAndIsReleased() throws Exception {
-        Wire viewer = viewer();
-        long id = ask(viewer, "paid");
-        ScriptedServer.Got got = atServer();
+        TestConnection viewer = connectViewer();
+        long id = sendSetUp(viewer, "paid");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
         Message setUp = got.message();
         assertEquals("paid", setUp.text(Parameter.CLASS));
         assertEquals("7f3a9c21e0b4d655", setUp.text(Parameter.TITLE));
         assertArrayEquals("v=0".getBytes(StandardCharsets.UTF_8), setUp.get(Parameter.DESCRIPTION));
         assertTrue(Integer.parseInt(setUp.text(Parameter.WAIT)) <= 1500);
         assertTrue(Integer.parseInt(setUp.text(Parameter.RUNG)) >= 1, "never below the floor");
-        Message answer = answer(viewer, SOON);
+        Message answer = awaitAnswer(viewer, TIMEOUT_MS);
         assertEquals(MessageType.ANSWER, answer.type());
         assertTrue(answer.text(Parameter.DESCRIPTION).endsWith("/" + id));
-        got.wire().send(new Message(MessageType.RELEASE, id).withCause(16));
-        assertEquals(16, viewer.next(SOON).cause());
+        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        assertEquals(16, viewer.awaitMessage(TIMEOUT_MS).cause());
         assertEquals(0, node.sessionCount());
     }
 
     @Test
     void passesTheTestOfThePlatform() throws Exception {
-        Wire platform = viewer();
+        TestConnection platform = connectViewer();
         platform.send(new Message(MessageType.TEST, 5).withCause(0));
-        Message result = platform.next(SOON);
+        Message result = platform.awaitMessage(TIMEOUT_MS);
         assertEquals(MessageType.TEST_RESULT, result.type());
         assertEquals(1, result.cause());
     }
@@ -51,7 +51,7 @@
     /** The wait of a session that plays already is no time; the session must not be refused for that. */
     @Test
     void sessionsOfAStartAreHeldAndReleasedOnAnyConnection() throws Exception {
-        Wire viewer = viewer();
+        TestConnection viewer = connectViewer();
         for (long id = 1; id <= 2; id++) {
             judge.requestSent(id, "free");
             Message stands = new Message(MessageType.SET_UP, id)
@@ -63,37 +63,37 @@
             viewer.send(stands);
             viewer.send(stands);
         }
-        playing(viewer, "free");
+        establishSession(viewer, "free");
         assertEquals(3, node.sessionCount());
-        one.close();
+        firstServer.close();
         for (int i = 0; i < 2; i++) {
-            assertEquals(41, viewer.next(SOON).cause());
+            assertEquals(41, viewer.awaitMessage(TIMEOUT_MS).cause());
         }
     }
 
     @Test
     void aViewerEndsASessionFromAnotherConnection() throws Exception {
-        Wire viewer = viewer();
-        long id = playing(viewer, "free");
-        viewer().send(new Message(MessageType.RELEASE, id).withCause(16));
-        ScriptedServer.Got release = atServer(MessageType.RELEASE);
+        TestConnection viewer = connectViewer();
+        long id = establishSession(viewer, "free");
+        connectViewer().send(new Message(MessageType.RELEASE, id).withCause(16));
+        ScriptedServer.ReceivedMessage release = awaitAtServers(MessageType.RELEASE);
         assertEquals(id, release.message().session());
-        Message end = viewer.next(SOON);
+        Message end = viewer.awaitMessage(TIMEOUT_MS);
         assertEquals(id, end.session(), "a give-up may have crossed the answer: its end is told");
         assertEquals(16, end.cause());
     }
 
     @Test
     void theEndOfASessionReachesItsViewerOnAnotherConnection() throws Exception {
-        Wire first = viewer();
-        long id = ask(first, "free");
-        ScriptedServer.Got got = atServer();
-        answer(first, SOON);
+        TestConnection first = connectViewer();
+        long id = sendSetUp(first, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        awaitAnswer(first, TIMEOUT_MS);
         first.close();
-        Wire second = viewer();
-        playing(second, "free");
-        got.wire().send(new Message(MessageType.RELEASE, id).withCause(16));
-        Message end = second.next(SOON);
+        TestConnection second = connectViewer();
+        establishSession(second, "free");
+        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        Message end = second.awaitMessage(TIMEOUT_MS);
         assertEquals(id, end.session());
         assertEquals(16, end.cause());
     }
@@ -104,72 +104,74 @@
      */
     @Test
     void aReleaseThatNobodyHeardIsSentAgainAndNeverOnATestsConnection() throws Exception {
-        Wire first = viewer();
-        long id = ask(first, "free");
-        ScriptedServer.Got got = atServer();
-        answer(first, SOON);
+        TestConnection first = connectViewer();
+        long id = sendSetUp(first, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        awaitAnswer(first, TIMEOUT_MS);
         first.close();
-        Wire platform = viewer();
+        TestConnection platform = connectViewer();
         platform.send(new Message(MessageType.TEST, 1).withCause(0));
-        platform.next(SOON);
-        got.wire().send(new Message(MessageType.RELEASE, id).withCause(16));
-        assertNull(platform.next(200), "a release on a connection for tests");
-        Wire second = viewer();
-        playing(second, "free");
-        assertEquals(id, second.next(SOON).session());
-        assertEquals(id, second.next(SOON).session(), "not heard: again");
+        platform.awaitMessage(TIMEOUT_MS);
+        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        assertNull(platform.awaitMessage(200), "a release on a connection for tests");
+        TestConnection second = connectViewer();
+        establishSession(second, "free");
+        assertEquals(id, second.awaitMessage(TIMEOUT_MS).session());
+        assertEquals(id, second.awaitMessage(TIMEOUT_MS).session(), "not heard: again");
         second.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, id));
-        Message more = second.next(600);
-        assertTrue(more == null || second.next(600) == null, "heard: no further one but what crossed");
+        Message more = second.awaitMessage(600);
+        assertTrue(more == null || second.awaitMessage(600) == null, "heard: no further one but what crossed");
     }
 
     // ---- discovery
 
     @Test
     void followsTheBulletinOverBreaksCopiesAndCutOffEvents() throws Exception {
-        ScriptedDiscovery.Asked first = discovery.next(SOON);
+        ScriptedDiscovery.StreamRequest first = discovery.awaitRequest(TIMEOUT_MS);
         assertEquals("/bulletins", first.path());
-        assertEquals("1", first.lastId());
-        first.tell(2, TestConfig.event(2, false, one.member("DRAINING")));
-        first.tell(2, TestConfig.event(2, false, one.member("DRAINING")));
+        assertEquals("1", first.lastEventId());
+        first.sendEvent(2, TestConfig.event(2, false, firstServer.listEntry("DRAINING")));
+        first.sendEvent(2, TestConfig.event(2, false, firstServer.listEntry("DRAINING")));
         first.write("id: 3\ndata: {\"no\":3,\"roster\":{\"revi");
         first.socket().close();
-        ScriptedDiscovery.Asked second = discovery.next(SOON);
-        assertEquals("2", second.lastId(), "the event that was cut off was not applied");
+        ScriptedDiscovery.StreamRequest second = discovery.awaitRequest(TIMEOUT_MS);
+        assertEquals("2", second.lastEventId(), "the event that was cut off was not applied");
         // Of a wrong type: refused whole, and asked for again.
-        second.tell(3, TestConfig.event(3, false, two.member("DRAINING")).replace("\"cell\":0", "\"cell\":\"x\""));
-        ScriptedDiscovery.Asked third = discovery.next(SOON);
-        assertEquals("2", third.lastId());
-        Wire viewer = viewer();
+        second.sendEvent(
+                3,
+                TestConfig.event(3, false, secondServer.listEntry("DRAINING")).replace("\"cell\":0", "\"cell\":\"x\""));
+        ScriptedDiscovery.StreamRequest third = discovery.awaitRequest(TIMEOUT_MS);
+        assertEquals("2", third.lastEventId());
+        TestConnection viewer = connectViewer();
         for (int i = 0; i < 5; i++) {
-            playing(viewer, "free");
+            establishSession(viewer, "free");
         }
-        assertNull(one.next(MessageType.SET_UP, 50), "nothing new to a server that drains");
+        assertNull(firstServer.awaitMessage(MessageType.SET_UP, 50), "nothing new to a server that drains");
     }
 
     @Test
     void aGapLeadsToANewRequest() throws Exception {
-        ScriptedDiscovery.Asked first = discovery.next(SOON);
-        first.tell(7, TestConfig.event(7, false, one.member("DRAINING")));
-        assertEquals("1", discovery.next(SOON).lastId());
+        ScriptedDiscovery.StreamRequest first = discovery.awaitRequest(TIMEOUT_MS);
+        first.sendEvent(7, TestConfig.event(7, false, firstServer.listEntry("DRAINING")));
+        assertEquals("1", discovery.awaitRequest(TIMEOUT_MS).lastEventId());
     }
 
     @Test
     void aBulletinThatStopsIsAskedAgain() throws Exception {
-        discovery.next(SOON);
-        assertNotNull(discovery.next(3500), "silent for more than two comments");
+        discovery.awaitRequest(TIMEOUT_MS);
+        assertNotNull(discovery.awaitRequest(3500), "silent for more than two comments");
     }
 
     @Test
     void aNewConfigurationMovesTheBulletinAndKeepsSessions() throws Exception {
-        discovery.next(SOON);
-        Wire viewer = viewer();
-        playing(viewer, "free");
-        ScriptedDiscovery other = keep(new ScriptedDiscovery());
-        node.reconfigure(config(other.port(), one.member("SERVING")));
-        assertEquals("1", other.next(SOON).lastId());
+        discovery.awaitRequest(TIMEOUT_MS);
+        TestConnection viewer = connectViewer();
+        establishSession(viewer, "free");
+        ScriptedDiscovery other = closeAfterTest(new ScriptedDiscovery());
+        node.reconfigure(createConfig(other.port(), firstServer.listEntry("SERVING")));
+        assertEquals("1", other.awaitRequest(TIMEOUT_MS).lastEventId());
         assertEquals(1, node.sessionCount());
-        playing(viewer, "free");
+        establishSession(viewer, "free");
     }
 
     /**
@@ -177,15 +179,15 @@
      */
     @Test
     void whatTheListCallsGoneHasEnded() throws Exception {
-        ScriptedDiscovery.Asked asked = discovery.next(SOON);
-        Wire viewer = viewer();
-        long id = ask(viewer, "free");
-        ScriptedServer.Got got = atServer();
-        Message answer = answer(viewer, SOON);
-        ScriptedServer at = answer.text(Parameter.DESCRIPTION).startsWith("s-1") ? one : two;
+        ScriptedDiscovery.StreamRequest asked = discovery.awaitRequest(TIMEOUT_MS);
+        TestConnection viewer = connectViewer();
+        long id = sendSetUp(viewer, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        Message answer = awaitAnswer(viewer, TIMEOUT_MS);
+        ScriptedServer at = answer.text(Parameter.DESCRIPTION).startsWith("s-1") ? firstServer : secondServer;
         assertNotNull(got);
-        asked.tell(2, TestConfig.event(2, false, at.member("DELETED")));
-        Message end = viewer.next(SOON);
+        asked.sendEvent(2, TestConfig.event(2, false, at.listEntry("DELETED")));
+        Message end = viewer.awaitMessage(TIMEOUT_MS);
         assertEquals(id, end.session());
         assertEquals(41, end.cause());
     }
@@ -194,41 +196,41 @@
     @Test
     void aDeadServerIsKnownThoughOneConnectionStaysOpen() throws Exception {
         // Two set-ups at once, so that each of the servers that get two has two connections.
-        List<ScriptedServer.Got> held = new java.util.concurrent.CopyOnWriteArrayList<>();
-        both((wire, message) -> held.add(new ScriptedServer.Got(wire, message)));
-        Wire viewer = viewer();
+        List<ScriptedServer.ReceivedMessage> held = new java.util.concurrent.CopyOnWriteArrayList<>();
+        onSetUpAtBoth((wire, message) -> held.add(new ScriptedServer.ReceivedMessage(wire, message)));
+        TestConnection viewer = connectViewer();
         for (int i = 0; i < 8; i++) {
-            ask(viewer, "paid");
+            sendSetUp(viewer, "paid");
         }
         for (int i = 0; i < 200 && held.size() < 8; i++) {
-            atServer();
+            awaitSetUpAtServers();
         }
         assertEquals(8, held.size());
-        held.forEach(got -> one.answer(got.wire(), got.message()));
+        held.forEach(got -> firstServer.sendAnswer(got.connection(), got.message()));
         for (int i = 0; i < 8; i++) {
-            answer(viewer, SOON);
+            awaitAnswer(viewer, TIMEOUT_MS);
         }
-        ScriptedServer dying = one.connections() > 1 ? one : two;
-        assertTrue(dying.connections() > 1);
-        dying.dieLeavingOneOpen();
-        assertEquals(41, viewer.next(1800).cause());
+        ScriptedServer dying = firstServer.connectionCount() > 1 ? firstServer : secondServer;
+        assertTrue(dying.connectionCount() > 1);
+        dying.crashLeavingOneConnectionOpen();
+        assertEquals(41, viewer.awaitMessage(1800).cause());
     }
 
     // ---- stop
 
     @Test
     void aStopAnswersWhatIsOwedFirst() throws Exception {
-        both((wire, message) -> {});
-        Wire viewer = viewer();
-        long id = ask(viewer, "free");
-        ScriptedServer.Got got = atServer();
+        onSetUpAtBoth((wire, message) -> {});
+        TestConnection viewer = connectViewer();
+        long id = sendSetUp(viewer, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
-        Wire late = viewer();
-        both((wire, message) -> one.answer(wire, message));
-        playing(late, "free");
-        one.answer(got.wire(), got.message());
-        assertEquals(id, answer(viewer, SOON).session());
+        TestConnection late = connectViewer();
+        onSetUpAtBoth((wire, message) -> firstServer.sendAnswer(wire, message));
+        establishSession(late, "free");
+        firstServer.sendAnswer(got.connection(), got.message());
+        assertEquals(id, awaitAnswer(viewer, TIMEOUT_MS).session());
         assertTrue(done.await(5, TimeUnit.SECONDS));
         assertFalse(judge.violations(id).contains("no answer: " + id));
     }
--- a/node/src/test/java/spanrill/node/NodeBench.java
+++ b/node/src/test/java/spanrill/node/FrontNodeTestBase.java
@@ -24,27 +24,27 @@
 
 /** A node between scripted viewers, servers and discovery, judged from what crossed the sockets. */
 @Timeout(30)
-abstract class NodeBench {
-    static final long SOON = 3000;
+abstract class FrontNodeTestBase {
+    static final long TIMEOUT_MS = 3000;
     final RequestRuleChecker judge = new RequestRuleChecker();
     private final List<AutoCloseable> open = new ArrayList<>();
 
     @TempDir
     private Path folder;
 
-    ScriptedServer one;
-    ScriptedServer two;
+    ScriptedServer firstServer;
+    ScriptedServer secondServer;
     ScriptedDiscovery discovery;
     FrontNode node;
-    long ids = 100;
+    long lastSessionId = 100;
 
     @BeforeEach
     void start() throws Exception {
-        one = keep(new ScriptedServer("s-1", judge));
-        two = keep(new ScriptedServer("s-2", judge));
-        discovery = keep(new ScriptedDiscovery());
+        firstServer = closeAfterTest(new ScriptedServer("s-1", judge));
+        secondServer = closeAfterTest(new ScriptedServer("s-2", judge));
+        discovery = closeAfterTest(new ScriptedDiscovery());
         node = FrontNode.start(
-                config(discovery.port(), one.member("SERVING"), two.member("SERVING")),
+                createConfig(discovery.port(), firstServer.listEntry("SERVING"), secondServer.listEntry("SERVING")),
                 EventSink.none(),
                 EventSink.none());
     }
@@ -58,20 +58,21 @@
         assertEquals(List.of(), judge.violations());
     }
 
-    <T extends AutoCloseable> T keep(T peer) {
+    <T extends AutoCloseable> T closeAfterTest(T peer) {
         open.add(peer);
         return peer;
     }
 
-    NodeConfig config(int discoveryPort, String... members) throws IOException {
+    NodeConfig createConfig(int discoveryPort, String... members) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(
-                file, adjust(TestConfig.json(freePort(), discoveryPort, List.of(TestConfig.event(1, true, members)))));
+                file,
+                adjustConfig(TestConfig.json(freePort(), discoveryPort, List.of(TestConfig.event(1, true, members)))));
         return NodeConfig.read(file);
     }
 
     /** The configuration as these tests want it. */
-    String adjust(String json) {
+    String adjustConfig(String json) {
         return json;
     }
 
@@ -81,25 +82,25 @@
         }
     }
 
-    Wire viewer() throws IOException {
-        return keep(Wire.to(node.address().getPort()));
+    TestConnection connectViewer() throws IOException {
+        return closeAfterTest(TestConnection.connect(node.address().getPort()));
     }
 
     /** What a test does while the node's loop is held: what comes meanwhile lies unread together. */
-    interface Step {
+    interface ThrowingAction {
         void run() throws Exception;
     }
 
-    void whileHeld(Step step) throws Exception {
-        Held held = new Held();
+    void whileLoopIsBlocked(ThrowingAction step) throws Exception {
+        LoopBlocker held = new LoopBlocker();
         node.eventLoop().execute(held);
-        held.awaitBegin();
+        held.awaitBlocked();
         step.run();
-        held.over();
+        held.unblock();
     }
 
     /** A task that holds the node's loop until it is over. */
-    static final class Held implements Runnable {
+    static final class LoopBlocker implements Runnable {
         private final CountDownLatch began = new CountDownLatch(1);
         private final CountDownLatch over = new CountDownLatch(1);
 
@@ -113,17 +114,17 @@
             }
         }
 
-        void awaitBegin() throws InterruptedException {
+        void awaitBlocked() throws InterruptedException {
             began.await();
         }
 
-        void over() {
+        void unblock() {
             over.countDown();
         }
     }
 
     /** Waits until the node has read what was sent to it before, and has done what follows from it. */
-    void settle() throws InterruptedException {
+    void awaitLoopIterations() throws InterruptedException {
         for (int round = 0; round < 4; round++) {
             CountDownLatch ran = new CountDownLatch(1);
             node.eventLoop().execute(ran::countDown);
@@ -131,7 +132,7 @@
         }
     }
 
-    static Message setUp(long id, String className, String more) {
+    static Message setUpMessage(long id, String className, String more) {
         return new Message(MessageType.SET_UP, id)
                 .with(Parameter.CLASS, className)
                 .with(Parameter.WAIT, "1500")
@@ -140,36 +141,36 @@
                 .with(Parameter.DESCRIPTION, "v=0".getBytes(StandardCharsets.UTF_8));
     }
 
-    long ask(Wire viewer, String className) {
-        long id = ++ids;
+    long sendSetUp(TestConnection viewer, String className) {
+        long id = ++lastSessionId;
         judge.requestSent(id, className);
-        viewer.send(setUp(id, className, ""));
+        viewer.send(setUpMessage(id, className, ""));
         return id;
     }
 
-    Message answer(Wire viewer, long ms) throws InterruptedException {
-        Message message = viewer.next(ms);
+    Message awaitAnswer(TestConnection viewer, long ms) throws InterruptedException {
+        Message message = viewer.awaitMessage(ms);
         assertNotNull(message, "an answer in time");
         judge.receivedByViewer(message);
         return message;
     }
 
-    long playing(Wire viewer, String className) throws InterruptedException {
-        long id = ask(viewer, className);
-        assertEquals(MessageType.ANSWER, answer(viewer, SOON).type());
+    long establishSession(TestConnection viewer, String className) throws InterruptedException {
+        long id = sendSetUp(viewer, className);
+        assertEquals(MessageType.ANSWER, awaitAnswer(viewer, TIMEOUT_MS).type());
         return id;
     }
 
     /** The set-up that reached one of the two servers. */
-    ScriptedServer.Got atServer() throws InterruptedException {
-        return atServer(MessageType.SET_UP);
+    ScriptedServer.ReceivedMessage awaitSetUpAtServers() throws InterruptedException {
+        return awaitAtServers(MessageType.SET_UP);
     }
 
     /** The next message of a type that reached one of the two servers, or null. */
-    ScriptedServer.Got atServer(MessageType type) throws InterruptedException {
+    ScriptedServer.ReceivedMessage awaitAtServers(MessageType type) throws InterruptedException {
         for (int i = 0; i < 300; i++) {
-            for (ScriptedServer server : List.of(one, two)) {
-                ScriptedServer.Got got = server.next(type, 5);
+            for (ScriptedServer server : List.of(firstServer, secondServer)) {
+                ScriptedServer.ReceivedMessage got = server.awaitMessage(type, 5);
                 if (got != null) {
                     return got;
                 }
@@ -178,8 +179,8 @@
         return null;
     }
 
-    void both(BiConsumer<Wire, Message> action) {
-        one.onSetUp(action);
-        two.onSetUp(action);
+    void onSetUpAtBoth(BiConsumer<TestConnection, Message> action) {
+        firstServer.onSetUp(action);
+        secondServer.onSetUp(action);
     }
 }
--- a/node/src/test/java/spanrill/node/LateServer.java
+++ b/node/src/test/java/spanrill/node/FullBacklogServer.java
@@ -16,13 +16,13 @@
  * A server to which connections don't come up until the test says so: its queue of connections is full of
  * the test's own, so the kernel lets whoever else comes wait and try again (after 1 s, then 2 s).
  */
-final class LateServer implements AutoCloseable {
-    final BlockingQueue<Message> got = new LinkedBlockingQueue<>();
+final class FullBacklogServer implements AutoCloseable {
+    final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
     private static final int TRY_MS = 100;
     private final ServerSocket listening;
     private final List<Socket> fillers = new ArrayList<>();
 
-    LateServer() throws IOException {
+    FullBacklogServer() throws IOException {
         listening = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         try {
             while (fillers.size() < 16) {
@@ -42,7 +42,7 @@
                 () -> {
                     try {
                         while (true) {
-                            new Wire(listening.accept(), (wire, message) -> got.add(message));
+                            new TestConnection(listening.accept(), (wire, message) -> received.add(message));
                         }
                     } catch (IOException e) {
                         // Closed by the test.
--- a/node/src/test/java/spanrill/node/HostileViewersTest.java
+++ b/node/src/test/java/spanrill/node/HostileViewersTest.java
@@ -18,43 +18,43 @@
 import spanrill.wire.platform.Parameter;
 
 /** Viewers that are wrong, slow, silent or many. */
-class HostileViewersTest extends NodeBench {
+class HostileViewersTest extends FrontNodeTestBase {
     @Test
     void whatCanNotBeUsedIsReleasedAndNeverServed() throws Exception {
-        Wire viewer = viewer();
-        viewer.send(setUp(1, "gold", ""));
-        assertEquals(100, viewer.next(SOON).cause());
+        TestConnection viewer = connectViewer();
+        viewer.send(setUpMessage(1, "gold", ""));
+        assertEquals(100, viewer.awaitMessage(TIMEOUT_MS).cause());
         viewer.send(new Message(MessageType.SET_UP, 2));
-        assertEquals(96, viewer.next(SOON).cause());
-        viewer.send(setUp(3, "free", ";home:7"));
-        assertEquals(100, viewer.next(SOON).cause());
+        assertEquals(96, viewer.awaitMessage(TIMEOUT_MS).cause());
+        viewer.send(setUpMessage(3, "free", ";home:7"));
+        assertEquals(100, viewer.awaitMessage(TIMEOUT_MS).cause());
         viewer.send(new Message(MessageType.SET_UP, 4)
                 .with(Parameter.CLASS, "free")
                 .with(Parameter.WAIT, "900")
                 .with(Parameter.TITLE, "7f3a9c21e0b4d655")
                 .with(Parameter.DESCRIPTION, "v=0")
                 .with(Parameter.ATTRIBUTES, "home:9;copies:1;top:2;viewer:00000000b4d65521"));
-        assertEquals(100, viewer.next(SOON).cause());
-        playing(viewer, "free");
+        assertEquals(100, viewer.awaitMessage(TIMEOUT_MS).cause());
+        establishSession(viewer, "free");
     }
 
     @Test
     void whatCanNotBeFramedAndSilenceAreClosed() throws Exception {
-        Wire noise = viewer();
-        Wire silent = viewer();
-        Wire half = viewer();
-        Wire endless = viewer();
-        Wire withdrawing = viewer();
-        noise.raw(new byte[] {0, 3, 1, 1, 1});
-        half.raw(new byte[] {0, 40, 1, 0, 0});
-        endless.raw(new byte[] {(byte) 0xff, (byte) 0xff, 1});
+        TestConnection noise = connectViewer();
+        TestConnection silent = connectViewer();
+        TestConnection half = connectViewer();
+        TestConnection endless = connectViewer();
+        TestConnection withdrawing = connectViewer();
+        noise.sendRaw(new byte[] {0, 3, 1, 1, 1});
+        half.sendRaw(new byte[] {0, 40, 1, 0, 0});
+        endless.sendRaw(new byte[] {(byte) 0xff, (byte) 0xff, 1});
         for (int i = 0; i < 300; i++) {
             withdrawing.send(new Message(MessageType.RELEASE, 9000 + i).withCause(16));
         }
-        for (Wire each : List.of(noise, endless, silent, half, withdrawing)) {
-            assertTrue(each.endsWithin(SOON));
+        for (TestConnection each : List.of(noise, endless, silent, half, withdrawing)) {
+            assertTrue(each.awaitEnd(TIMEOUT_MS));
         }
-        playing(viewer(), "free");
+        establishSession(connectViewer(), "free");
     }
 
     /**
@@ -64,53 +64,53 @@
      */
     @Test
     void floodsOfWhatCanNotBeUsedAreClosed() throws Exception {
-        Wire rejected = viewer();
-        Wire unknown = viewer();
+        TestConnection rejected = connectViewer();
+        TestConnection unknown = connectViewer();
         for (int i = 1; i <= 200; i++) {
-            rejected.send(setUp(5000 + i, "gold", ""));
+            rejected.send(setUpMessage(5000 + i, "gold", ""));
             unknown.send(new Message(MessageType.PROGRESS, i));
         }
-        assertEquals(100, rejected.next(SOON).cause());
-        assertTrue(rejected.endsWithin(1000));
-        assertTrue(unknown.endsWithin(SOON));
-        playing(viewer(), "free");
+        assertEquals(100, rejected.awaitMessage(TIMEOUT_MS).cause());
+        assertTrue(rejected.awaitEnd(1000));
+        assertTrue(unknown.awaitEnd(TIMEOUT_MS));
+        establishSession(connectViewer(), "free");
     }
 
     @Test
     void hundredsAtOnceGetAnAnswerEach() throws Exception {
-        Wire crowd = viewer();
+        TestConnection crowd = connectViewer();
         long[] owed = new long[300];
         for (int i = 0; i < owed.length; i++) {
-            owed[i] = ask(crowd, i % 3 == 0 ? "paid" : "free");
+            owed[i] = sendSetUp(crowd, i % 3 == 0 ? "paid" : "free");
         }
         for (int i = 0; i < owed.length; i++) {
-            answer(crowd, SOON);
+            awaitAnswer(crowd, TIMEOUT_MS);
         }
         assertEquals(List.of(), judge.violations(owed));
-        assertNull(crowd.next(50));
+        assertNull(crowd.awaitMessage(50));
     }
 
     /** Each is given up at its server, none is answered, nothing of them is kept. */
     @Test
     void hundredsWithdrawnAtOnceLeaveNothing() throws Exception {
-        both((wire, message) -> {});
-        Wire crowd = viewer();
-        long first = ids + 1;
+        onSetUpAtBoth((wire, message) -> {});
+        TestConnection crowd = connectViewer();
+        long first = lastSessionId + 1;
         for (int i = 0; i < 300; i++) {
-            ask(crowd, "free");
+            sendSetUp(crowd, "free");
         }
-        for (long id = first; id <= ids; id++) {
+        for (long id = first; id <= lastSessionId; id++) {
             crowd.send(new Message(MessageType.RELEASE, id).withCause(16));
         }
         crowd.send(new Message(MessageType.TEST, 1).withCause(0));
-        Message after = crowd.next(SOON);
-        for (; after.type() != MessageType.TEST_RESULT; after = crowd.next(SOON)) {
+        Message after = crowd.awaitMessage(TIMEOUT_MS);
+        for (; after.type() != MessageType.TEST_RESULT; after = crowd.awaitMessage(TIMEOUT_MS)) {
             // Turned away before it was withdrawn: an answer, not a second one.
             judge.receivedByViewer(after);
         }
         assertEquals(0, node.sessionCount());
-        both(one::answer);
-        playing(viewer(), "free");
+        onSetUpAtBoth(firstServer::sendAnswer);
+        establishSession(connectViewer(), "free");
     }
 
     /** What a peer does not read must not pile up here. */
@@ -130,31 +130,32 @@
                 }
             });
         }
-        playing(viewer(), "free");
+        establishSession(connectViewer(), "free");
     }
 
     /** Its buffer fills after a long rest: the second for which it may read nothing begins then. */
     @Test
     void aSlowReaderKeepsItsAnswersAfterARest() throws Exception {
         byte[] description = new byte[15_000];
-        both((wire, message) -> {
+        onSetUpAtBoth((wire, message) -> {
             judge.descriptionIssued(message.session(), description);
             wire.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, description));
         });
-        Wire slow = keep(Wire.reading(node.address().getPort(), 4096));
+        TestConnection slow = closeAfterTest(
+                TestConnection.connectWithoutReading(node.address().getPort(), 4096));
         slow.send(new Message(MessageType.TEST, 1).withCause(0));
-        assertNull(slow.next(1200));
+        assertNull(slow.awaitMessage(1200));
         int asked = 0;
         for (int beyond = 0; beyond < 12 && asked < 600; asked++) {
-            ask(slow, "free");
-            assertNotNull(atServer());
+            sendSetUp(slow, "free");
+            assertNotNull(awaitSetUpAtServers());
             beyond += node.hasUnflushed() ? 1 : 0;
         }
-        assertNull(slow.next(300), "more than one look at it");
-        slow.read();
-        assertEquals(MessageType.TEST_RESULT, slow.next(SOON).type());
+        assertNull(slow.awaitMessage(300), "more than one look at it");
+        slow.startReading();
+        assertEquals(MessageType.TEST_RESULT, slow.awaitMessage(TIMEOUT_MS).type());
         for (int i = 0; i < asked; i++) {
-            assertEquals(MessageType.ANSWER, answer(slow, SOON).type());
+            assertEquals(MessageType.ANSWER, awaitAnswer(slow, TIMEOUT_MS).type());
         }
     }
 
@@ -179,51 +180,51 @@
 
     @Test
     void anOpenNumberUsedAgainDoesNotDisturbTheFirst() throws Exception {
-        both((wire, message) -> {});
-        Wire first = viewer();
-        long id = ask(first, "free");
-        ScriptedServer.Got got = atServer();
-        Wire second = viewer();
-        second.send(setUp(id, "free", ";again:1"));
-        assertEquals(81, second.next(SOON).cause());
-        one.answer(got.wire(), got.message());
-        assertEquals(MessageType.ANSWER, answer(first, SOON).type());
-        Wire third = viewer();
-        long twice = ask(third, "free");
-        ScriptedServer.Got once = atServer();
-        third.send(setUp(twice, "free", ""));
-        third.send(setUp(twice, "paid", ""));
-        settle();
-        one.answer(once.wire(), once.message());
-        Message only = answer(third, SOON);
+        onSetUpAtBoth((wire, message) -> {});
+        TestConnection first = connectViewer();
+        long id = sendSetUp(first, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        TestConnection second = connectViewer();
+        second.send(setUpMessage(id, "free", ";again:1"));
+        assertEquals(81, second.awaitMessage(TIMEOUT_MS).cause());
+        firstServer.sendAnswer(got.connection(), got.message());
+        assertEquals(MessageType.ANSWER, awaitAnswer(first, TIMEOUT_MS).type());
+        TestConnection third = connectViewer();
+        long twice = sendSetUp(third, "free");
+        ScriptedServer.ReceivedMessage once = awaitSetUpAtServers();
+        third.send(setUpMessage(twice, "free", ""));
+        third.send(setUpMessage(twice, "paid", ""));
+        awaitLoopIterations();
+        firstServer.sendAnswer(once.connection(), once.message());
+        Message only = awaitAnswer(third, TIMEOUT_MS);
         assertEquals(twice, only.session());
         assertEquals(MessageType.ANSWER, only.type());
-        both(one::answer);
-        playing(third, "free");
-        assertNull(third.next(50), "two under one number on one connection: one answer, to the first");
+        onSetUpAtBoth(firstServer::sendAnswer);
+        establishSession(third, "free");
+        assertNull(third.awaitMessage(50), "two under one number on one connection: one answer, to the first");
     }
 
     @Test
     void aCrowdThatSaysNothingTakesNoRoomFromViewers() throws Exception {
         for (int i = 0; i < 300; i++) {
-            viewer();
+            connectViewer();
         }
-        Wire viewer = viewer();
-        playing(viewer, "free");
+        TestConnection viewer = connectViewer();
+        establishSession(viewer, "free");
     }
 
     /** Strangers who ask for a test and stay: the connection of a session that stands is not for them. */
     @Test
     void aCrowdThatAsksOnceAndStaysTakesNoConnectionWithASession() throws Exception {
-        Wire viewer = viewer();
-        long id = ask(viewer, "free");
-        ScriptedServer.Got got = atServer();
-        answer(viewer, SOON);
+        TestConnection viewer = connectViewer();
+        long id = sendSetUp(viewer, "free");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        awaitAnswer(viewer, TIMEOUT_MS);
         for (int i = 0; i < 150; i++) {
             tested();
         }
-        got.wire().send(new Message(MessageType.RELEASE, id).withCause(16));
-        Message end = viewer.next(1000);
+        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        Message end = viewer.awaitMessage(1000);
         assertNotNull(end, "told on its own connection, at once");
         assertEquals(id, end.session());
     }
@@ -234,33 +235,33 @@
         for (int i = 0; i < 130; i++) {
             tested();
         }
-        Wire viewer = viewer();
+        TestConnection viewer = connectViewer();
         for (int i = 0; i < 4; i++) {
-            viewer();
+            connectViewer();
         }
-        settle();
-        playing(viewer, "free");
+        awaitLoopIterations();
+        establishSession(viewer, "free");
     }
 
     private void tested() throws Exception {
-        Wire stranger = viewer();
+        TestConnection stranger = connectViewer();
         stranger.send(new Message(MessageType.TEST, 1).withCause(0));
-        assertEquals(MessageType.TEST_RESULT, stranger.next(SOON).type());
+        assertEquals(MessageType.TEST_RESULT, stranger.awaitMessage(TIMEOUT_MS).type());
     }
 
     @Test
     void aViewerThatLeavesHasItsAttemptGivenUp() throws Exception {
-        both((wire, message) -> {});
-        Wire viewer = viewer();
-        long id = ask(viewer, "paid");
-        ScriptedServer.Got got = atServer();
+        onSetUpAtBoth((wire, message) -> {});
+        TestConnection viewer = connectViewer();
+        long id = sendSetUp(viewer, "paid");
+        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
         viewer.close();
-        ScriptedServer.Got release = atServer(MessageType.RELEASE);
+        ScriptedServer.ReceivedMessage release = awaitAtServers(MessageType.RELEASE);
         assertEquals(id, release.message().session());
         assertEquals(16, release.message().cause());
         // A paid attempt that is answered all the same is nothing any more.
-        got.wire().send(new Message(MessageType.ANSWER, id).with(Parameter.DESCRIPTION, "late"));
-        both(one::answer);
-        playing(viewer(), "free");
+        got.connection().send(new Message(MessageType.ANSWER, id).with(Parameter.DESCRIPTION, "late"));
+        onSetUpAtBoth(firstServer::sendAnswer);
+        establishSession(connectViewer(), "free");
     }
 }
--- a/node/src/test/java/spanrill/node/MainTest.java
+++ b/node/src/test/java/spanrill/node/MainTest.java
@@ -112,9 +112,9 @@
         Files.writeString(folder.resolve("config.json"), config);
         signal("HUP");
         assertTrue(lineWith(log, "config.loaded").contains("config.json"));
-        try (Wire platform = Wire.to(port)) {
+        try (TestConnection platform = TestConnection.connect(port)) {
             platform.send(new Message(MessageType.TEST, 1).withCause(0));
-            assertEquals(1, platform.next(5000).cause());
+            assertEquals(1, platform.awaitMessage(5000).cause());
         }
         signal("TERM");
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -133,9 +133,9 @@
         signal("TERM");
         signal("HUP");
         assertTrue(lineWith(log, "config.loaded") != null);
-        try (Wire platform = Wire.to(port)) {
+        try (TestConnection platform = TestConnection.connect(port)) {
             platform.send(new Message(MessageType.TEST, 1).withCause(0));
-            assertEquals(1, platform.next(5000).cause(), "it serves while requests may come");
+            assertEquals(1, platform.awaitMessage(5000).cause(), "it serves while requests may come");
         }
         assertTrue(lineWith(log, "shutdown.drain") != null);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
--- a/node/src/test/java/spanrill/node/ScriptedDiscovery.java
+++ b/node/src/test/java/spanrill/node/ScriptedDiscovery.java
@@ -16,16 +16,16 @@
     private final String status;
     private final String body;
     private final ServerSocket listening;
-    private final BlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<StreamRequest> asked = new LinkedBlockingQueue<>();
 
     /** A request: its Last-Event-ID, and the connection to tell on. */
-    record Asked(String path, String lastId, Socket socket) {
+    record StreamRequest(String path, String lastEventId, Socket socket) {
         void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             socket.getOutputStream().flush();
         }
 
-        void tell(long no, String event) throws IOException {
+        void sendEvent(long no, String event) throws IOException {
             write("id: " + no + "\ndata: " + event + "\n\n");
         }
     }
@@ -61,7 +61,7 @@
                         last = line.substring(14).trim();
                     }
                 }
-                Asked next = new Asked(first.split(" ")[1], last, socket);
+                StreamRequest next = new StreamRequest(first.split(" ")[1], last, socket);
                 next.write("HTTP/1.1 " + status + "\r\ncontent-type: text/event-stream\r\n\r\n" + body);
                 asked.add(next);
             }
@@ -70,7 +70,7 @@
         }
     }
 
-    Asked next(long ms) throws InterruptedException {
+    StreamRequest awaitRequest(long ms) throws InterruptedException {
         return asked.poll(ms, TimeUnit.MILLISECONDS);
     }
 
--- a/node/src/test/java/spanrill/node/ScriptedServer.java
+++ b/node/src/test/java/spanrill/node/ScriptedServer.java
@@ -17,14 +17,14 @@
 /** A server on loopback that does what the test says; unless told otherwise it answers every set-up. */
 final class ScriptedServer implements AutoCloseable {
     /** A message and the connection that it came on. */
-    record Got(Wire wire, Message message) {}
+    record ReceivedMessage(TestConnection connection, Message message) {}
 
     final String id;
-    final BlockingQueue<Got> got = new LinkedBlockingQueue<>();
+    final BlockingQueue<ReceivedMessage> received = new LinkedBlockingQueue<>();
     private final ServerSocket listening;
-    private final List<Wire> wires = new CopyOnWriteArrayList<>();
+    private final List<TestConnection> wires = new CopyOnWriteArrayList<>();
     private final RequestRuleChecker judge;
-    private volatile BiConsumer<Wire, Message> onSetUp = this::answer;
+    private volatile BiConsumer<TestConnection, Message> onSetUp = this::sendAnswer;
 
     ScriptedServer(String id, RequestRuleChecker judge) throws IOException {
         this.id = id;
@@ -40,37 +40,37 @@
             while (true) {
                 Socket socket = listening.accept();
                 socket.setTcpNoDelay(true);
-                wires.add(new Wire(socket, this::heard));
+                wires.add(new TestConnection(socket, this::heard));
             }
         } catch (IOException e) {
             // Closed by the test.
         }
     }
 
-    private void heard(Wire wire, Message message) {
+    private void heard(TestConnection wire, Message message) {
         judge.receivedByServer(id, message);
-        got.add(new Got(wire, message));
+        received.add(new ReceivedMessage(wire, message));
         if (message.type() == MessageType.SET_UP) {
             onSetUp.accept(wire, message);
         }
     }
 
     /** The usual answer: a description of this server for this session. */
-    void answer(Wire wire, Message setUp) {
+    void sendAnswer(TestConnection wire, Message setUp) {
         byte[] description = (id + "/" + setUp.session()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
         judge.descriptionIssued(setUp.session(), description);
         wire.send(new Message(MessageType.ANSWER, setUp.session()).with(Parameter.DESCRIPTION, description));
     }
 
-    void onSetUp(BiConsumer<Wire, Message> action) {
+    void onSetUp(BiConsumer<TestConnection, Message> action) {
         onSetUp = action;
     }
 
     /** The next message of a type. */
-    Got next(MessageType type, long ms) throws InterruptedException {
+    ReceivedMessage awaitMessage(MessageType type, long ms) throws InterruptedException {
         long until = System.nanoTime() + ms * 1_000_000;
         for (long left = ms; left > 0; left = (until - System.nanoTime()) / 1_000_000) {
-            Got next = got.poll(left, TimeUnit.MILLISECONDS);
+            ReceivedMessage next = received.poll(left, TimeUnit.MILLISECONDS);
             if (next != null && next.message().type() == type) {
                 return next;
             }
@@ -82,32 +82,32 @@
         return listening.getLocalPort();
     }
 
-    String member(String phase) {
+    String listEntry(String phase) {
         return TestConfig.member(id, port(), phase);
     }
 
     /** Its process dies, but one connection is left open and silent, as after a broken path. */
-    void dieLeavingOneOpen() throws IOException {
+    void crashLeavingOneConnectionOpen() throws IOException {
         listening.close();
-        wires.subList(1, wires.size()).forEach(Wire::reset);
+        wires.subList(1, wires.size()).forEach(TestConnection::reset);
     }
 
     /** Closes its connections in order, as one that finds them idle; it goes on listening. */
     void closeConnections() {
-        wires.forEach(Wire::close);
+        wires.forEach(TestConnection::close);
     }
 
     /** True when all connections to it were ended by the other side in time. */
-    boolean allEndWithin(long ms) throws InterruptedException {
-        for (Wire wire : wires) {
-            if (!wire.endsWithin(ms)) {
+    boolean awaitAllEnded(long ms) throws InterruptedException {
+        for (TestConnection wire : wires) {
+            if (!wire.awaitEnd(ms)) {
                 return false;
             }
         }
         return true;
     }
 
-    int connections() {
+    int connectionCount() {
         return wires.size();
     }
 
@@ -115,6 +115,6 @@
     @Override
     public void close() throws IOException {
         listening.close();
-        wires.forEach(Wire::reset);
+        wires.forEach(TestConnection::reset);
     }
 }
--- a/node/src/test/java/spanrill/node/SettingsLimitsTest.java
+++ b/node/src/test/java/spanrill/node/SettingsLimitsTest.java
@@ -11,39 +11,39 @@
 import spanrill.wire.platform.MessageType;
 
 /** Limits that a customer's settings state, where they are tighter than the node's own. */
-class SettingsLimitsTest extends NodeBench {
+class SettingsLimitsTest extends FrontNodeTestBase {
     @Override
-    String adjust(String json) {
+    String adjustConfig(String json) {
         return json.replace("\"max_attempts\":3", "\"max_attempts\":3,\"max_streams\":1,\"probing\":false");
     }
 
     /** Where tests are not allowed a silent server is asked by a connection only; its session stands. */
     @Test
     void noServerIsTestedWhereTheSettingsForbidIt() throws Exception {
-        Wire viewer = viewer();
-        playing(viewer, "free");
-        ScriptedServer at = one.connections() > 0 ? one : two;
-        int before = at.connections();
-        assertNull(at.next(MessageType.TEST, 4500), "silent for longer than two notes");
-        assertTrue(at.connections() > before, "a connection was tried");
+        TestConnection viewer = connectViewer();
+        establishSession(viewer, "free");
+        ScriptedServer at = firstServer.connectionCount() > 0 ? firstServer : secondServer;
+        int before = at.connectionCount();
+        assertNull(at.awaitMessage(MessageType.TEST, 4500), "silent for longer than two notes");
+        assertTrue(at.connectionCount() > before, "a connection was tried");
         assertEquals(1, node.sessionCount());
     }
 
     /** One set-up on a connection at a time; what finds none is not sent. */
     @Test
     void noConnectionCarriesMoreSetUpsThanTheSettingsAllow() throws Exception {
-        both((wire, message) -> {});
-        Wire crowd = viewer();
+        onSetUpAtBoth((wire, message) -> {});
+        TestConnection crowd = connectViewer();
         for (int i = 0; i < 40; i++) {
-            ask(crowd, "paid");
+            sendSetUp(crowd, "paid");
         }
-        Set<Wire> used = new HashSet<>();
+        Set<TestConnection> used = new HashSet<>();
         int sent = 0;
-        for (ScriptedServer.Got got = atServer(); got != null; got = atServer()) {
-            used.add(got.wire());
+        for (ScriptedServer.ReceivedMessage got = awaitSetUpAtServers(); got != null; got = awaitSetUpAtServers()) {
+            used.add(got.connection());
             sent++;
         }
         assertEquals(used.size(), sent);
-        assertNotNull(crowd.next(SOON), "the others are turned away");
+        assertNotNull(crowd.awaitMessage(TIMEOUT_MS), "the others are turned away");
     }
 }
--- a/node/src/test/java/spanrill/node/Wire.java
+++ b/node/src/test/java/spanrill/node/TestConnection.java
@@ -19,37 +19,37 @@
  * One end of a connection that speaks the platform's protocol, for tests: blocking, with a reader of its
  * own.
  */
-final class Wire implements AutoCloseable {
+final class TestConnection implements AutoCloseable {
     private final Socket socket;
     private final BlockingQueue<Message> read = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
     private volatile Runnable beforeClose = () -> {};
 
     /** Reads until the end; {@code heard} takes each message first, on the reader's thread. */
-    Wire(Socket socket, BiConsumer<Wire, Message> heard) {
+    TestConnection(Socket socket, BiConsumer<TestConnection, Message> heard) {
         this.socket = socket;
         Thread reader = new Thread(() -> run(heard), "wire");
         reader.setDaemon(true);
         reader.start();
     }
 
-    static Wire to(int port) throws IOException {
+    static TestConnection connect(int port) throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setTcpNoDelay(true);
-        return new Wire(socket, (wire, message) -> {});
+        return new TestConnection(socket, (wire, message) -> {});
     }
 
     /** One that reads nothing until it is told to, with a small buffer for what comes. */
-    static Wire reading(int port, int buffer) throws IOException {
+    static TestConnection connectWithoutReading(int port, int buffer) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(buffer);
         socket.connect(new InetSocketAddress("127.0.0.1", port));
         socket.setTcpNoDelay(true);
-        return new Wire(socket);
+        return new TestConnection(socket);
     }
 
     /** True when no connection can be had there. */
-    static boolean refused(int port) throws IOException {
+    static boolean isConnectionRefused(int port) throws IOException {
         try {
             new Socket("127.0.0.1", port).close();
             return false;
@@ -58,18 +58,18 @@
         }
     }
 
-    private Wire(Socket socket) {
+    private TestConnection(Socket socket) {
         this.socket = socket;
     }
 
     /** Reads from now on. */
-    void read() {
+    void startReading() {
         Thread reader = new Thread(() -> run((wire, message) -> {}), "wire");
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void run(BiConsumer<Wire, Message> heard) {
+    private void run(BiConsumer<TestConnection, Message> heard) {
         MessageDecoder decoder = new MessageDecoder();
         byte[] part = new byte[4096];
         try {
@@ -98,10 +98,10 @@
     void send(Message message) {
         ByteBuf out = Unpooled.buffer();
         message.write(out);
-        raw(ByteBufUtil.getBytes(out));
+        sendRaw(ByteBufUtil.getBytes(out));
     }
 
-    void raw(byte[] bytes) {
+    void sendRaw(byte[] bytes) {
         try {
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
@@ -111,12 +111,12 @@
     }
 
     /** The next message, or null when none came in time. */
-    Message next(long ms) throws InterruptedException {
+    Message awaitMessage(long ms) throws InterruptedException {
         return read.poll(ms, TimeUnit.MILLISECONDS);
     }
 
     /** True when the other side ended the connection in time. */
-    boolean endsWithin(long ms) throws InterruptedException {
+    boolean awaitEnd(long ms) throws InterruptedException {
         String end = ended.poll(ms, TimeUnit.MILLISECONDS);
         if (end != null) {
             ended.add(end);
--- a/node/src/test/java/spanrill/node/session/SessionHostTest.java
+++ b/node/src/test/java/spanrill/node/session/SessionHostTest.java
@@ -54,7 +54,7 @@
         for (String id : List.of("s-1", "s-2", "s-3")) {
             servers.add(new Server(id, "a", "std", 0, ServerState.READY, 1, Double.NaN));
         }
-        host.servers(ListKind.KEPT, servers);
+        host.updateServers(ListKind.KEPT, servers);
         clock.advance(4000);
     }
 
@@ -87,10 +87,10 @@
         }
 
         @Override
-        public void rung(String server, long session, int rung) {}
+        public void setRung(String server, long session, int rung) {}
 
         @Override
-        public void standing(String server, int sessions) {}
+        public void setEstablishedSessions(String server, int sessions) {}
     }
 
     private static final class Near implements ClientLink {
@@ -101,33 +101,33 @@
         private int standing;
 
         @Override
-        public boolean open() {
+        public boolean isWritable() {
             return open;
         }
 
         @Override
-        public void answer(long session, byte[] told) {
+        public void sendAnswer(long session, byte[] told) {
             heard.add("answer " + session);
             description = told;
         }
 
         @Override
-        public void withdrawn(long session) {
+        public void requestWithdrawn(long session) {
             withdrawn.add(session);
         }
 
         @Override
-        public void release(long session, End end, double stayAwayMs) {
+        public void sendRelease(long session, ReleaseReason end, double stayAwayMs) {
             heard.add(end + " " + session + (stayAwayMs > 0 ? " away" : ""));
         }
 
         @Override
-        public void standing(boolean more) {
+        public void establishedSessionsChanged(boolean more) {
             standing += more ? 1 : -1;
         }
 
         @Override
-        public void move(long session) {
+        public void sendMove(long session) {
             heard.add("move " + session);
         }
     }
@@ -155,24 +155,24 @@
     @Test
     void aSessionIsSetUpAnsweredAndReleased() {
         long id = ask("free");
-        host.answered(out(), new byte[] {9});
+        host.onAnswer(out(), new byte[] {9});
         assertArrayEquals(new byte[] {9}, near.description);
-        host.over(out().server(), id, Outcome.OK, null);
-        host.heard(id);
+        host.onSessionEnded(out().server(), id, Outcome.OK, null);
+        host.onReleaseAcknowledged(id);
         clock.advance(9000);
         assertEquals(List.of("answer 1", "OVER 1"), near.heard);
-        assertEquals(0, host.size());
+        assertEquals(0, host.sessionCount());
     }
 
     @Test
     void secondAnswersAndSecondEndsAreNothing() {
         long id = ask("free");
         Attempt attempt = out();
-        host.answered(attempt, new byte[0]);
-        host.answered(attempt, new byte[0]);
-        host.ended(attempt, Outcome.RESET, null);
-        host.over(attempt.server(), id, Outcome.OK, null);
-        host.over(attempt.server(), id, Outcome.OK, null);
+        host.onAnswer(attempt, new byte[0]);
+        host.onAnswer(attempt, new byte[0]);
+        host.onAttemptEnded(attempt, Outcome.RESET, null);
+        host.onSessionEnded(attempt.server(), id, Outcome.OK, null);
+        host.onSessionEnded(attempt.server(), id, Outcome.OK, null);
         assertEquals(List.of("answer 1", "OVER 1"), near.heard);
     }
 
@@ -184,7 +184,7 @@
         clock.runUntil(() -> far.said.size() >= 3, 1000);
         assertEquals("giveUp", far.said.get(1));
         assertTrue(far.said.get(2).startsWith("setUp") && !far.said.get(2).equals(far.said.get(0)));
-        host.answered(first, new byte[0]);
+        host.onAnswer(first, new byte[0]);
         assertTrue(near.heard.isEmpty(), "the first attempt was given up");
     }
 
@@ -194,7 +194,7 @@
         ask("free");
         Attempt attempt = out();
         clock.runUntil(() -> clock.now() >= attempt.until(), 1000);
-        host.answered(attempt, new byte[0]);
+        host.onAnswer(attempt, new byte[0]);
         clock.advance(2000);
         assertEquals(List.of("answer 1"), near.heard);
     }
@@ -202,11 +202,11 @@
     @Test
     void aPaidSessionThatMayHaveRunFailsAndIsNotSentAgain() {
         ask("paid");
-        host.ended(out(), Outcome.RESET, null);
+        host.onAttemptEnded(out(), Outcome.RESET, null);
         assertEquals(List.of("FAILED 1"), near.heard);
         assertEquals(1, far.said.size());
         ask("paid");
-        host.ended(out(), Outcome.CONNECT_FAILED, null);
+        host.onAttemptEnded(out(), Outcome.CONNECT_FAILED, null);
         assertEquals(3, far.said.size(), "never ran: sent elsewhere");
     }
 
@@ -216,7 +216,7 @@
         clock.advance(1100);
         assertEquals(List.of("FAILED 1"), near.heard);
         assertTrue(far.said.contains("giveUp"));
-        assertEquals(0, host.size());
+        assertEquals(0, host.sessionCount());
     }
 
     /** Guards against a module that forgets: the host answers and ends what is out. */
@@ -242,12 +242,12 @@
     /** After a start the server's word comes on its first connection, perhaps before the session is told of. */
     @Test
     void aSessionThatEndedBeforeItWasHandedOverIsReleasedAtOnce() {
-        host.over("s-1", 7, Outcome.OK, null);
-        host.over("s-1", 8, Outcome.CANCELLED, null);
-        host.standsAt(asked(7, "free", "s-1"), near);
-        host.standsAt(asked(8, "free", "s-1"), near);
+        host.onSessionEnded("s-1", 7, Outcome.OK, null);
+        host.onSessionEnded("s-1", 8, Outcome.CANCELLED, null);
+        host.takeOver(asked(7, "free", "s-1"), near);
+        host.takeOver(asked(8, "free", "s-1"), near);
         assertEquals(List.of("OVER 7"), near.heard);
-        assertEquals(1, host.size());
+        assertEquals(1, host.sessionCount());
     }
 
     /** Before a stop ends: each request has its answer, its attempt is given up, and none takes longer. */
@@ -258,9 +258,9 @@
         ask("free");
         assertTrue(far.out.stream().skip(1).allMatch(attempt -> attempt.until() <= clock.now() + 100));
         clock.advance(99);
-        assertEquals(2, host.open());
+        assertEquals(2, host.openRequests());
         clock.advance(1);
-        assertEquals(0, host.open());
+        assertEquals(0, host.openRequests());
         assertEquals(List.of("FAILED 1", "FAILED 2"), near.heard);
         assertEquals(2, far.said.stream().filter("giveUp"::equals).count());
     }
@@ -268,23 +268,23 @@
     @Test
     void aViewerThatGivesUpIsOwedNothingAndItsAttemptEnds() {
         long id = ask("free");
-        assertTrue(host.released(id));
-        assertFalse(host.released(id));
+        assertTrue(host.onClientRelease(id));
+        assertFalse(host.onClientRelease(id));
         assertEquals("giveUp", far.said.get(1));
         ask("free");
-        host.linkEnded(List.of(2L));
+        host.onClientConnectionEnded(List.of(2L));
         clock.advance(2000);
         assertTrue(near.heard.isEmpty());
-        assertEquals(0, host.size());
+        assertEquals(0, host.sessionCount());
     }
 
     @Test
     void aViewerEndsItsSessionAtItsServer() {
         long id = ask("free");
-        host.answered(out(), new byte[0]);
-        host.released(id);
+        host.onAnswer(out(), new byte[0]);
+        host.onClientRelease(id);
         assertTrue(far.said.contains("release 1"));
-        host.over(out().server(), id, Outcome.CANCELLED, null);
+        host.onSessionEnded(out().server(), id, Outcome.CANCELLED, null);
         assertEquals(List.of("answer 1", "OVER 1"), near.heard, "its give-up may have crossed the answer");
     }
 
@@ -292,24 +292,24 @@
     @Test
     void theEndOfASessionFindsAnotherConnection() {
         long first = ask("free");
-        host.answered(out(), new byte[0]);
+        host.onAnswer(out(), new byte[0]);
         long second = ask("free");
-        host.answered(out(), new byte[0]);
+        host.onAnswer(out(), new byte[0]);
         near.open = false;
         other = new Near();
-        host.over(far.out.get(0).server(), first, Outcome.OK, null);
+        host.onSessionEnded(far.out.get(0).server(), first, Outcome.OK, null);
         assertEquals(List.of("OVER 1"), other.heard);
         other = null;
-        host.over(far.out.get(1).server(), second, Outcome.RESET, null);
+        host.onSessionEnded(far.out.get(1).server(), second, Outcome.RESET, null);
         Near next = new Near();
-        host.linkReady(next);
-        host.linkReady(next);
+        host.onClientConnectionReady(next);
+        host.onClientConnectionReady(next);
         assertEquals(List.of("CUT 2"), next.heard);
         other = next;
         clock.advance(450);
         assertEquals(List.of("CUT 2", "OVER 1", "CUT 2"), next.heard, "not heard: again");
-        host.heard(1);
-        host.heard(2);
+        host.onReleaseAcknowledged(1);
+        host.onReleaseAcknowledged(2);
         clock.advance(9000);
         assertEquals(3, next.heard.size());
     }
@@ -323,23 +323,23 @@
         int before = clock.pendingTimers();
         for (int i = 0; i < 50; i++) {
             long id = ask("free");
-            host.answered(out(), new byte[0]);
-            host.over(out().server(), id, Outcome.OK, null);
-            host.heard(id);
+            host.onAnswer(out(), new byte[0]);
+            host.onSessionEnded(out().server(), id, Outcome.OK, null);
+            host.onReleaseAcknowledged(id);
         }
         long last = ask("free");
-        host.answered(out(), new byte[0]);
-        host.over(out().server(), last, Outcome.OK, null);
+        host.onAnswer(out(), new byte[0]);
+        host.onSessionEnded(out().server(), last, Outcome.OK, null);
         clock.advance(150);
         assertTrue(clock.pendingTimers() <= before + 1, "timers: " + before + " then " + clock.pendingTimers());
     }
 
     @Test
     void sessionsOfAStartStandAndEndWithTheirServer() {
-        host.standsAt(asked(50, "free", "s-2"), near);
-        host.standsAt(asked(51, "free", "s-9"), near);
-        host.lost("s-2");
-        host.lost("s-9");
+        host.takeOver(asked(50, "free", "s-2"), near);
+        host.takeOver(asked(51, "free", "s-9"), near);
+        host.onServerLost("s-2");
+        host.onServerLost("s-9");
         assertEquals(List.of("CUT 50", "CUT 51"), near.heard);
         assertEquals(0, near.standing);
     }
@@ -350,11 +350,12 @@
      */
     @Test
     void sessionsAtAServerThatIsNeverListedEnd() {
-        host.standsAt(asked(50, "free", "s-8"), near);
-        host.standsAt(asked(51, "free", "s-9"), near);
+        host.takeOver(asked(50, "free", "s-8"), near);
+        host.takeOver(asked(51, "free", "s-9"), near);
         clock.advance(3000);
         assertEquals(2, near.standing);
-        host.servers(ListKind.CHANGES, List.of(new Server("s-8", "a", "std", 0, ServerState.READY, 1, Double.NaN)));
+        host.updateServers(
+                ListKind.CHANGES, List.of(new Server("s-8", "a", "std", 0, ServerState.READY, 1, Double.NaN)));
         clock.advance(3500);
         assertEquals(List.of("CUT 51"), near.heard.subList(0, 1));
         assertEquals(1, near.standing);
@@ -362,10 +363,10 @@
 
     @Test
     void aServerThatStartedAnewHasLostWhatStoodThere() {
-        host.standsAt(asked(50, "free", "s-2"), near);
-        host.restarted("s-2", clock.now() - 10);
+        host.takeOver(asked(50, "free", "s-2"), near);
+        host.onServerRestarted("s-2", clock.now() - 10);
         assertTrue(near.heard.isEmpty(), "it stands since after the start");
-        host.restarted("s-2", clock.now() + 10);
+        host.onServerRestarted("s-2", clock.now() + 10);
         assertEquals(List.of("CUT 50"), near.heard);
     }
 
@@ -381,11 +382,11 @@
             module.actions = actions;
             return module;
         });
-        moved[0].standsAt(asked(60, "free", "s-1"), near);
-        moved[0].standsAt(asked(61, "free", "s-1"), near);
+        moved[0].takeOver(asked(60, "free", "s-1"), near);
+        moved[0].takeOver(asked(61, "free", "s-1"), near);
         module.actions.move(String.format("%016x", 60));
         module.actions.move(String.format("%016x", 61));
-        moved[0].over("s-1", 60, Outcome.CANCELLED, null);
+        moved[0].onSessionEnded("s-1", 60, Outcome.CANCELLED, null);
         clock.advance(1000);
         assertEquals(List.of("move 60", "move 61", "CUT 61"), near.heard);
         assertTrue(far.said.contains("release 61") && !far.said.contains("release 60"));
@@ -396,12 +397,12 @@
         Silent module = new Silent();
         SessionHost told = new SessionHost(
                 SETTINGS, clock, EventSink.none(), EventSink.none(), far, () -> null, actions -> module);
-        told.standsAt(asked(60, "free", "s-1"), near);
-        told.note("s-2", 60, NoteKind.DELIVERED, 0.5);
-        told.note("s-1", 60, NoteKind.RUNG, 3);
-        told.note("s-1", 60, NoteKind.RUNG, 0.5);
+        told.takeOver(asked(60, "free", "s-1"), near);
+        told.onNote("s-2", 60, NoteKind.DELIVERED, 0.5);
+        told.onNote("s-1", 60, NoteKind.RUNG, 3);
+        told.onNote("s-1", 60, NoteKind.RUNG, 0.5);
         assertEquals(0, module.notes);
-        told.note("s-1", 60, NoteKind.RUNG, 2);
+        told.onNote("s-1", 60, NoteKind.RUNG, 2);
         assertEquals(1, module.notes);
     }
 
@@ -429,16 +430,16 @@
                 ask(name);
             } else if (pick < 5 && attempt != null) {
                 far.out.remove(attempt);
-                host.answered(attempt, new byte[0]);
+                host.onAnswer(attempt, new byte[0]);
             } else if (pick < 8 && attempt != null) {
                 far.out.remove(attempt);
                 Outcome outcome = List.of(
                                 Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT)
                         .get(random.nextInt(5));
                 unproven.merge(attempt.session(), !outcome.neverRan(), Boolean::logicalOr);
-                host.ended(attempt, outcome, null);
+                host.onAttemptEnded(attempt, outcome, null);
             } else if (pick == 8 && ids > 0) {
-                host.released(1 + random.nextInt((int) ids));
+                host.onClientRelease(1 + random.nextInt((int) ids));
             } else {
                 clock.advance(random.nextInt(300));
             }
@@ -470,7 +471,7 @@
                         "refused unproven");
             }
         }
-        assertEquals(0, host.open());
+        assertEquals(0, host.openRequests());
         assertTrue(far.out.isEmpty(), "nothing is left out");
     }
 
