--- a/decisions/src/test/java/spanrill/decisions/ClientConnectionStateTest.java
+++ b/decisions/src/test/java/spanrill/decisions/ClientConnectionStateTest.java
@@ -27,7 +27,7 @@
     private final ClientConnectionState state = new ClientConnectionState();
 
     @Test
-    void openRequestsGetTheirAnswersBeforeTheOutputIsShutDown() {
+    void openRequestsAreFailedBeforeTheOutputIsShutDown() {
         assertEquals(ClientConnectionState.RequestHandling.SERVE, state.requestHandling());
         state.startDrain(0, CloseReason.SHUTDOWN, 600);
         assertEquals(ClientConnectionState.RequestHandling.REFUSE, state.requestHandling());
@@ -38,12 +38,12 @@
         assertEquals(Phase.CLOSING, state.phase());
         assertEquals(ClientConnectionState.RequestHandling.DISCARD, state.requestHandling());
         assertEquals(Step.NONE, state.nextStep(1101, QUIET));
-        assertEquals(Step.CLOSE, state.nextStep(1102, QUIET), "its client does not end it");
+        assertEquals(Step.CLOSE, state.nextStep(1102, QUIET), "the client does not close");
     }
 
-    /** What has arrived is read before the end, so that it is refused and not dropped. */
+    /** Requests that have arrived but are unread are refused and not dropped. */
     @Test
-    void whatLiesUnreadIsReadBeforeTheEnd() {
+    void unreadInputIsReadBeforeTheOutputIsShutDown() {
         View unread = new View(0, false, false, false, true, false);
         state.startDrain(0, CloseReason.SHUTDOWN, 600);
         assertEquals(Step.READ_INPUT, state.nextStep(10, unread));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void idleConnectionsEndAtOnceAndUnusedOnesWithoutADetour() {
+    void connectionWithoutOpenRequestsEndsAtOnce() {
         state.startDrain(0, CloseReason.EVICTED);
         assertEquals(Step.SHUT_DOWN_OUTPUT, state.nextStep(0, QUIET));
         ClientConnectionState unused = new ClientConnectionState();
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aShutdownWaitsForRequestsUnderWayAndForReleases() {
+    void shutdownWaitsForRequestsInTransitAndForReleases() {
         state.startDrain(0, CloseReason.SHUTDOWN, 600);
         assertEquals(Step.NONE, state.nextStep(10, new View(0, true, false, false, true, true)));
         assertEquals(Step.NONE, state.nextStep(20, new View(0, false, false, true, true, true)));
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void hostileClientsHaveTheirOpenRequestsAnsweredWithinThreeSeconds() {
+    void openRequestsOfAHostileClientAreFailedWithinThreeSeconds() {
         state.startDrain(0, CloseReason.UNREADABLE);
         assertEquals(ClientConnectionState.RequestHandling.DISCARD, state.requestHandling());
         assertFalse(state.readable());
@@ -80,11 +80,11 @@
         assertEquals(Step.FAIL_OPEN_REQUESTS, state.nextStep(1500, BUSY));
         assertEquals(Step.SHUT_DOWN_OUTPUT, state.nextStep(1501, QUIET));
         state.onDiscarded(2 << 20);
-        assertEquals(Step.CLOSE, state.nextStep(1502, QUIET), "endless input");
+        assertEquals(Step.CLOSE, state.nextStep(1502, QUIET), "too much input while closing");
     }
 
     @Test
-    void theFirstReasonStands() {
+    void firstCloseReasonIsKept() {
         assertNull(state.reason());
         state.startDrain(0, CloseReason.ABUSE);
         state.startDrain(10, CloseReason.SHUTDOWN, 5000);
@@ -93,8 +93,8 @@
         assertEquals(Step.NONE, state.nextStep(9000, BUSY));
     }
 
-    /** What may happen to a connection. */
-    enum Kind {
+    /** Kinds of events on a connection. */
+    enum EventKind {
         REQUEST,
         ANSWER,
         CANCEL,
@@ -105,12 +105,12 @@
         TIME
     }
 
-    record Happens(Kind kind, CloseReason reason, double ms) {}
+    record Event(EventKind kind, CloseReason reason, double ms) {}
 
     @Provide
-    Arbitrary<List<Happens>> histories() {
-        Arbitrary<Happens> one = Combinators.combine(
-                        Arbitraries.of(Kind.values()),
+    Arbitrary<List<Event>> histories() {
+        Arbitrary<Event> event = Combinators.combine(
+                        Arbitraries.of(EventKind.values()),
                         Arbitraries.of(
                                 CloseReason.SHUTDOWN,
                                 CloseReason.IDLE,
@@ -118,28 +118,28 @@
                                 CloseReason.ABUSE,
                                 CloseReason.UNREADABLE),
                         Arbitraries.doubles().between(0, 400))
-                .as(Happens::new);
-        return one.list().ofMinSize(5).ofMaxSize(80);
+                .as(Event::new);
+        return event.list().ofMinSize(5).ofMaxSize(80);
     }
 
     /**
-     * Random orders of events: each request that was taken has exactly one final answer, or its client has
-     * gone or does not read; nothing is written after the output was shut down.
+     * For random sequences of events: each accepted request gets exactly one final answer, unless the client has
+     * closed the connection or does not read; nothing is written after the output is shut down.
      */
     @Property(tries = 2000)
-    void everyRequestTakenGetsOneAnswerOrItsClientHasGone(@ForAll("histories") List<Happens> history) {
+    void everyAcceptedRequestGetsOneAnswerUnlessTheClientIsGone(@ForAll("histories") List<Event> history) {
         Connection connection = new Connection();
         history.forEach(connection::apply);
-        connection.apply(new Happens(Kind.RECOVERS, null, 0));
-        connection.apply(new Happens(Kind.DRAIN, CloseReason.SHUTDOWN, 0));
+        connection.apply(new Event(EventKind.RECOVERS, null, 0));
+        connection.apply(new Event(EventKind.DRAIN, CloseReason.SHUTDOWN, 0));
         for (int i = 0; i < 40; i++) {
-            connection.apply(new Happens(Kind.TIME, null, 100));
+            connection.apply(new Event(EventKind.TIME, null, 100));
         }
         assertEquals(Phase.CLOSED, connection.state.phase(), "a drained connection ends");
         connection.check();
     }
 
-    /** A connection that does what its state says, as the node's does. */
+    /** A connection that follows its state machine as the connections of the node do. */
     private static final class Connection {
         private final ClientConnectionState state = new ClientConnectionState();
         private final Map<Integer, Integer> answers = new HashMap<>();
@@ -149,10 +149,10 @@
         private double now;
         private boolean stalled;
         private boolean clientGone;
-        private boolean notRead;
+        private boolean closedWhileStalled;
 
-        void apply(Happens happens) {
-            switch (happens.kind()) {
+        void apply(Event event) {
+            switch (event.kind()) {
                 case REQUEST -> request();
                 case ANSWER -> open.stream().findFirst().ifPresent(this::answer);
                 case CANCEL ->
@@ -160,11 +160,11 @@
                         open.remove(id);
                         cancelled.add(id);
                     });
-                case DRAIN -> drain(happens.reason());
+                case DRAIN -> drain(event.reason());
                 case PEER_CLOSES -> close(CloseReason.PEER_CLOSED);
                 case STALLS -> stalled = true;
                 case RECOVERS -> stalled = false;
-                default -> now += happens.ms();
+                default -> now += event.ms();
             }
             advance();
         }
@@ -189,10 +189,10 @@
         }
 
         private void drain(CloseReason reason) {
-            boolean needsNoOpen = reason == CloseReason.IDLE || reason == CloseReason.EVICTED;
+            boolean needsNoOpenRequest = reason == CloseReason.IDLE || reason == CloseReason.EVICTED;
             if (reason == CloseReason.SHUTDOWN) {
                 state.startDrain(now, reason, 600);
-            } else if (!needsNoOpen || open.isEmpty()) {
+            } else if (!needsNoOpenRequest || open.isEmpty()) {
                 state.startDrain(now, reason);
             }
         }
@@ -204,8 +204,8 @@
                     advance();
                 }
                 case CLOSE -> {
-                    notRead = stalled && state.phase() == Phase.DRAINING;
-                    assertTrue(open.isEmpty() || notRead, "closed under open requests");
+                    closedWhileStalled = stalled && state.phase() == Phase.DRAINING;
+                    assertTrue(open.isEmpty() || closedWhileStalled, "closed with open requests");
                     close(state.reason());
                 }
                 default -> {}
@@ -221,7 +221,7 @@
         void check() {
             answers.forEach((id, count) -> {
                 assertTrue(count <= 1, "a second answer");
-                assertTrue(count == 1 || cancelled.contains(id) || clientGone || notRead, "no answer");
+                assertTrue(count == 1 || cancelled.contains(id) || clientGone || closedWhileStalled, "no answer");
             });
         }
     }
--- a/decisions/src/test/java/spanrill/decisions/WatchRetryPolicyTest.java
+++ b/decisions/src/test/java/spanrill/decisions/DiscoveryRetryPolicyTest.java
@@ -8,51 +8,51 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class WatchRetryPolicyTest {
-    /** The node looks so often whether discovery is to be asked again. */
+class DiscoveryRetryPolicyTest {
+    /** Interval at which the node checks whether a retry is due. */
     private static final double TICK_MS = 100;
-    /** The discovery client's connect time-out. */
+    /** Connect timeout of the discovery client. */
     private static final double CONNECT_MS = 500;
-    /** Half of the 6 s after which a change counts as told: the rest is for the answer and the grace. */
-    private static final double MOST_MS = 3000;
+    /** Half of the 6 s after which an update counts as delivered; the rest is for the response and tolerance. */
+    private static final double MAX_RETRY_MS = 3000;
 
-    /** What becomes of a call while discovery can't be reached. */
+    /** Results of a request while discovery is unavailable. */
     enum Failure {
         REFUSED,
         CONNECT_TIMED_OUT,
-        MUTE,
+        NO_RESPONSE,
         HEAD_ONLY,
         CUT_IN_AN_EVENT,
         SILENT_AFTER_AN_EVENT
     }
 
     /**
-     * Whatever calls came to during an outage of any length, the first call that can succeed is made soon
-     * after discovery can be reached; a call that was made before stays as dead as it was.
+     * After an outage of any length and with any results of the requests during it, a new request is sent soon
+     * after discovery is available. A request that was sent during the outage never gets a response.
      */
     @Property(tries = 1000)
-    void discoveryIsAskedSoonAfterItCanBeReached(
+    void requestIsSentSoonAfterDiscoveryIsAvailable(
             @ForAll long seed,
             @ForAll @Size(min = 1, max = 30) List<Failure> failures,
             @ForAll @IntRange(min = 0, max = 60_000) int outageMs) {
         DiscoveryRetryPolicy policy = new DiscoveryRetryPolicy(seed);
-        double askedAt = 0;
-        int calls = 0;
+        double requestedAt = 0;
+        int requests = 0;
         policy.onRequest(0);
-        fail(policy, failures.get(0), 0);
+        applyFailure(policy, failures.get(0), 0);
         double now = 0;
-        while (askedAt < outageMs) {
+        while (requestedAt < outageMs) {
             now += TICK_MS;
-            assertTrue(now < outageMs + MOST_MS, "not asked " + (now - outageMs) + " ms after its return");
+            assertTrue(now < outageMs + MAX_RETRY_MS, "no request " + (now - outageMs) + " ms after the outage");
             if (policy.isRetryDue(now)) {
-                askedAt = now;
+                requestedAt = now;
                 policy.onRequest(now);
-                fail(policy, failures.get(++calls % failures.size()), now);
+                applyFailure(policy, failures.get(++requests % failures.size()), now);
             }
         }
     }
 
-    private static void fail(DiscoveryRetryPolicy policy, Failure failure, double now) {
+    private static void applyFailure(DiscoveryRetryPolicy policy, Failure failure, double now) {
         switch (failure) {
             case REFUSED -> policy.onFailure(now + 1);
             case CONNECT_TIMED_OUT -> policy.onFailure(now + CONNECT_MS);
--- a/decisions/src/test/java/spanrill/decisions/EdgesTest.java
+++ b/decisions/src/test/java/spanrill/decisions/FailureDecisionsTest.java
@@ -10,10 +10,10 @@
 import spanrill.SessionControl.Outcome;
 import spanrill.decisions.OutcomeTable.Stage;
 
-/** Decisions at the edges of a front: connections, lost set-ups, lost segments, boxes that may be gone. */
-class EdgesTest {
+/** Decisions of a front about full budgets, failed set-ups, failed segments and lost boxes. */
+class FailureDecisionsTest {
     @Test
-    void aFullBudgetIsToldOnceAndNotForEachConnection() {
+    void fullBudgetIsReportedOnceAndNotForEachConnection() {
         ConnectionBudget budget = new ConnectionBudget(10);
         for (int i = 0; i < 10; i++) {
             assertFalse(budget.becameFull());
@@ -24,7 +24,7 @@
         assertFalse(budget.becameFull());
         budget.onClosed();
         assertTrue(budget.tryOpen());
-        assertFalse(budget.becameFull(), "it hovers at its limit");
+        assertFalse(budget.becameFull(), "the number of connections stays near the limit");
         budget.onClosed();
         budget.onClosed();
         assertFalse(budget.becameFull());
@@ -37,20 +37,21 @@
     }
 
     @Test
-    void onlyWhatSpendsAndMayHaveRunIsAskedFor() {
+    void boxIsQueriedOnlyAboutSpendingAttemptsThatMayHaveRun() {
         for (Stage stage : Stage.values()) {
             for (Outcome outcome : Outcome.values()) {
                 boolean sent = stage == Stage.WRITTEN || stage == Stage.ANSWERING;
-                FailedSetUpAction free = FailedSetUpAction.choose(stage, outcome, false);
-                assertEquals(sent && !outcome.neverRan() ? FailedSetUpAction.CANCEL : FailedSetUpAction.REPORT, free);
+                FailedSetUpAction unpaid = FailedSetUpAction.choose(stage, outcome, false);
+                assertEquals(sent && !outcome.neverRan() ? FailedSetUpAction.CANCEL : FailedSetUpAction.REPORT, unpaid);
                 FailedSetUpAction paid = FailedSetUpAction.choose(stage, outcome, true);
-                assertEquals(stage == Stage.WRITTEN && !outcome.neverRan() ? FailedSetUpAction.QUERY_BOX : free, paid);
+                assertEquals(
+                        stage == Stage.WRITTEN && !outcome.neverRan() ? FailedSetUpAction.QUERY_BOX : unpaid, paid);
             }
         }
     }
 
     @Test
-    void aSegmentIsAskedForAgainOnlyBeforeItsFirstByte() {
+    void segmentIsRetriedOnlyBeforeItsFirstByte() {
         assertEquals(
                 SegmentRetryPolicy.Action.ABORT,
                 SegmentRetryPolicy.decide(true, 0, 1).action());
@@ -70,40 +71,44 @@
     }
 
     @Test
-    void audioComesOutOfTheSessionsRate() {
+    void audioRateIsTakenFromTheSessionRate() {
         assertEquals(24, TrackRates.audioRate(24, 200));
         assertEquals(176, TrackRates.videoRate(200, 24));
         assertEquals(100, TrackRates.audioRate(100, 200));
-        assertEquals(0, TrackRates.audioRate(101, 200), "it would starve the pictures");
+        assertEquals(0, TrackRates.audioRate(101, 200), "audio would take more than half of the rate");
         assertEquals(0, TrackRates.audioRate(0, 200));
     }
 
     @Test
-    void aBoxIsGoneWhenNothingListensAndRestartedWhenAnotherAnswers() {
-        BoxProcessMonitor watch = new BoxProcessMonitor(50, 2000, 1);
-        assertNull(watch.onHello(1));
-        watch.onData();
-        assertEquals(new BoxProcessMonitor.Reaction(null, 0), watch.onStreamBroken(true), "who answers now decides");
-        assertNull(watch.onHello(1));
-        assertEquals(SessionEnd.BOX_RESTARTED, watch.onHello(2));
-        assertEquals(new BoxProcessMonitor.Reaction(null, -1), watch.onStreamBroken(false), "nothing plays there");
-        BoxProcessMonitor.Reaction gone = watch.onUnreachable(true);
+    void boxIsGoneWhenUnreachableAndRestartedWhenItsProcessChanges() {
+        BoxProcessMonitor monitor = new BoxProcessMonitor(50, 2000, 1);
+        assertNull(monitor.onHello(1));
+        monitor.onData();
+        assertEquals(
+                new BoxProcessMonitor.Reaction(null, 0),
+                monitor.onStreamBroken(true),
+                "the stream is reopened at once");
+        assertNull(monitor.onHello(1));
+        assertEquals(SessionEnd.BOX_RESTARTED, monitor.onHello(2));
+        assertEquals(
+                new BoxProcessMonitor.Reaction(null, -1), monitor.onStreamBroken(false), "the box has no sessions");
+        BoxProcessMonitor.Reaction gone = monitor.onUnreachable(true);
         assertEquals(SessionEnd.BOX_GONE, gone.lostReason());
         assertTrue(gone.reopenDelayMs() >= 25 && gone.reopenDelayMs() <= 50, gone.toString());
-        assertEquals(-1, watch.onUnreachable(false).reopenDelayMs());
+        assertEquals(-1, monitor.onUnreachable(false).reopenDelayMs());
     }
 
     @Test
-    void aBoxThatTakesTheStreamAndClosesItIsNotAskedWithoutEnd() {
-        BoxProcessMonitor watch = new BoxProcessMonitor(50, 2000, 1);
-        watch.onData();
-        assertEquals(0, watch.onStreamBroken(true).reopenDelayMs());
-        double sum = 0;
+    void streamThatClosesWithoutDataIsReopenedWithBackoff() {
+        BoxProcessMonitor monitor = new BoxProcessMonitor(50, 2000, 1);
+        monitor.onData();
+        assertEquals(0, monitor.onStreamBroken(true).reopenDelayMs());
+        double totalDelayMs = 0;
         for (int i = 0; i < 10; i++) {
-            sum += watch.onStreamBroken(true).reopenDelayMs();
+            totalDelayMs += monitor.onStreamBroken(true).reopenDelayMs();
         }
-        assertTrue(sum > 5000, "ten tries took " + sum);
-        watch.onData();
-        assertEquals(0, watch.onStreamBroken(true).reopenDelayMs());
+        assertTrue(totalDelayMs > 5000, "total delay of ten retries in ms: " + totalDelayMs);
+        monitor.onData();
+        assertEquals(0, monitor.onStreamBroken(true).reopenDelayMs());
     }
 }
--- /dev/null
+++ b/decisions/src/test/java/spanrill/decisions/NodeDecisionsTest.java
@@ -0,0 +1,209 @@
+package spanrill.decisions;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import spanrill.SessionControl.Outcome;
+import spanrill.decisions.FailureDetector.Step;
+
+/** Decisions of a front node outside the module. */
+class NodeDecisionsTest {
+    @Test
+    void setUpGetsItsOwnConnectionUpToTheLimit() {
+        ConnectionSelector selector = new ConnectionSelector(5000, 2);
+        ConnectionSelector.Connection busy = new ConnectionSelector.Connection(1, 0, true);
+        assertEquals(ConnectionSelector.OPEN_NEW, selector.select(List.of(), true));
+        assertEquals(ConnectionSelector.OPEN_NEW, selector.select(List.of(busy), true));
+        assertEquals(
+                1,
+                selector.select(
+                        List.of(
+                                busy,
+                                new ConnectionSelector.Connection(0, 100, true),
+                                new ConnectionSelector.Connection(0, 900, true)),
+                        true));
+        assertEquals(0, selector.select(List.of(busy, new ConnectionSelector.Connection(2, 0, true)), false));
+        assertEquals(
+                ConnectionSelector.NONE_AVAILABLE,
+                selector.select(List.of(new ConnectionSelector.Connection(2, 0, true)), false));
+    }
+
+    /** The server may be closing a long idle connection, and an unusable one delivers no answers. */
+    @Test
+    void idleAndUnusableConnectionsAreNotSelected() {
+        ConnectionSelector selector = new ConnectionSelector(5000, 2);
+        List<ConnectionSelector.Connection> links = List.of(
+                new ConnectionSelector.Connection(0, 5001, true), new ConnectionSelector.Connection(0, 0, false));
+        assertEquals(ConnectionSelector.OPEN_NEW, selector.select(links, true));
+        assertEquals(ConnectionSelector.NONE_AVAILABLE, selector.select(links, false));
+    }
+
+    @Test
+    void silentServerIsTestedThenReconnectedThenGone() {
+        FailureDetector detector = new FailureDetector(3000, 250);
+        detector.onReceived(0);
+        assertEquals(Step.NONE, detector.nextStep(2999));
+        assertEquals(Step.TEST, detector.nextStep(3000));
+        assertEquals(Step.NONE, detector.nextStep(3100));
+        assertEquals(Step.CONNECT, detector.nextStep(3250));
+        assertEquals(Step.NONE, detector.nextStep(3500));
+        assertEquals(Step.CONNECT, detector.nextStep(3750));
+        assertEquals(Step.CONNECT, detector.nextStep(4250));
+        assertEquals(Step.GONE, detector.nextStep(4750), "within 8 s of the failure");
+    }
+
+    /**
+     * After the death of a server, new connections may be refused while an old connection stays open and silent.
+     */
+    @Test
+    void refusedConnectionMeansGoneUnlessAnotherDeliversData() {
+        FailureDetector detector = new FailureDetector(3000, 250);
+        detector.onReceived(0);
+        assertTrue(detector.isGoneAfterRefusal(10, false));
+        assertFalse(detector.isGoneAfterRefusal(10, true));
+        assertTrue(detector.isGoneAfterRefusal(600, true));
+    }
+
+    @Test
+    void receivedDataEndsTheSuspicion() {
+        FailureDetector detector = new FailureDetector(3000, 250);
+        detector.onReceived(0);
+        detector.nextStep(3000);
+        detector.nextStep(3300);
+        detector.nextStep(3900);
+        detector.nextStep(4500);
+        detector.onReceived(4600);
+        assertEquals(Step.NONE, detector.nextStep(7500));
+        assertEquals(Step.TEST, detector.nextStep(7600), "the silence is counted anew");
+    }
+
+    @Test
+    void discoveryIsRequestedAgainBeforeMissedUpdatesCountAsDelivered() {
+        DiscoveryRetryPolicy policy = new DiscoveryRetryPolicy(7);
+        policy.onRequest(0);
+        policy.onData(10);
+        assertFalse(policy.isRetryDue(2000), "comments are sent every second");
+        assertTrue(policy.isRetryDue(2300), "missed updates count as delivered 4 s after a stall");
+        policy.onRequest(2300);
+        policy.onData(2310);
+        policy.onFailure(2400);
+        assertTrue(policy.isRetryDue(2500), "missed updates count as delivered 2 s after a failure");
+        policy.onRequest(3000);
+        for (int i = 0; i < 20; i++) {
+            policy.onFailure(3000);
+            assertTrue(policy.isRetryDue(3600), "after any number of failures");
+            policy.onRequest(3000);
+        }
+        assertTrue(policy.isRetryDue(4500), "no response");
+    }
+
+    /** A process throttled by its CPU share reads late, while the viewer's patience already runs. */
+    @Test
+    void receiveDelayIsTheTimeSinceTheLastIterationBeyondTheNormalInterval() {
+        ReceiveDelayEstimator estimator = new ReceiveDelayEstimator(20);
+        assertEquals(0, estimator.estimateMs(50), "no iteration recorded");
+        estimator.onLoopIteration(100);
+        assertEquals(0, estimator.estimateMs(115));
+        assertEquals(80, estimator.estimateMs(200));
+        estimator.onLoopIteration(201);
+        assertEquals(0, estimator.estimateMs(202));
+    }
+
+    @Test
+    void connectionsWithoutUsefulInputAreEvictedFirstAndBusyOnesNever() {
+        ConnectionEviction.Candidate waiting =
+                new ConnectionEviction.Candidate(1, 0, ConnectionEviction.Activity.NOTHING_USEFUL, 9000);
+        ConnectionEviction.Candidate established =
+                new ConnectionEviction.Candidate(0, 1, ConnectionEviction.Activity.SERVED, 9000);
+        ConnectionEviction.Candidate idle =
+                new ConnectionEviction.Candidate(0, 0, ConnectionEviction.Activity.SERVED, 5000);
+        ConnectionEviction.Candidate recent =
+                new ConnectionEviction.Candidate(0, 0, ConnectionEviction.Activity.SERVED, 50);
+        ConnectionEviction.Candidate tested =
+                new ConnectionEviction.Candidate(0, 0, ConnectionEviction.Activity.NOT_SERVED, 100);
+        ConnectionEviction.Candidate testedLongAgo =
+                new ConnectionEviction.Candidate(0, 0, ConnectionEviction.Activity.NOT_SERVED, 8000);
+        ConnectionEviction.Candidate silent =
+                new ConnectionEviction.Candidate(0, 0, ConnectionEviction.Activity.NOTHING_USEFUL, 300);
+        ConnectionEviction.Candidate young =
+                new ConnectionEviction.Candidate(0, 0, ConnectionEviction.Activity.NOTHING_USEFUL, 299);
+        List<ConnectionEviction.Candidate> all =
+                new ArrayList<>(List.of(waiting, established, young, idle, recent, tested, testedLongAgo, silent));
+        for (ConnectionEviction.Candidate next : List.of(silent, testedLongAgo, tested, idle, young)) {
+            int chosen = ConnectionEviction.chooseVictim(all);
+            assertEquals(next, all.get(chosen));
+            all.remove(chosen);
+        }
+        assertEquals(
+                ConnectionEviction.NONE,
+                ConnectionEviction.chooseVictim(all),
+                "the last served connection and the busy ones remain");
+    }
+
+    @Test
+    void releaseIsRoutedToTheLastUsefulConnectionAndThenToAnother() {
+        List<ConnectionEviction.Route> routes = List.of(
+                new ConnectionEviction.Route(true, 5),
+                new ConnectionEviction.Route(false, 9),
+                new ConnectionEviction.Route(true, 7));
+        assertEquals(2, ConnectionEviction.chooseRoute(routes, ConnectionEviction.NONE));
+        assertEquals(0, ConnectionEviction.chooseRoute(routes, 2));
+        assertEquals(2, ConnectionEviction.chooseRoute(routes, 0));
+        assertEquals(0, ConnectionEviction.chooseRoute(routes.subList(0, 2), 0), "no other usable connection");
+        assertEquals(ConnectionEviction.NONE, ConnectionEviction.chooseRoute(routes.subList(1, 2), 1));
+    }
+
+    @Test
+    void startWaitsForMissedUpdatesForALimitedTime() {
+        DiscoveryRetryPolicy updated = new DiscoveryRetryPolicy(1);
+        updated.onRequest(0);
+        assertFalse(updated.isCaughtUp(90));
+        updated.onResponse(90);
+        assertFalse(updated.isCaughtUp(180));
+        updated.onData(180);
+        assertFalse(updated.isCaughtUp(195), "more data may follow at once");
+        assertTrue(updated.isCaughtUp(200));
+        DiscoveryRetryPolicy empty = new DiscoveryRetryPolicy(1);
+        empty.onRequest(0);
+        empty.onResponse(10);
+        assertFalse(empty.isCaughtUp(100));
+        assertTrue(empty.isCaughtUp(110), "no update was missed");
+        DiscoveryRetryPolicy silent = new DiscoveryRetryPolicy(1);
+        silent.onRequest(0);
+        assertFalse(silent.isCaughtUp(1400));
+        assertTrue(silent.isCaughtUp(1500));
+        DiscoveryRetryPolicy down = new DiscoveryRetryPolicy(1);
+        down.onRequest(0);
+        down.onFailure(5);
+        assertTrue(down.isCaughtUp(6));
+    }
+
+    @Test
+    void serversHaveTheirOwnShareOfDescriptors() {
+        for (int descriptors : new int[] {64, 256, 1024}) {
+            FileDescriptorBudget budget = new FileDescriptorBudget(descriptors);
+            assertTrue(budget.maxViewerConnections() + budget.maxServerConnections() < descriptors);
+            assertTrue(budget.maxServerConnections() * 3 >= budget.maxViewerConnections());
+        }
+        assertTrue(
+                new FileDescriptorBudget(256).maxViewerConnections() >= 256 / 3 + 20,
+                "a third for viewers, and more for other clients");
+    }
+
+    @Test
+    void onlyFullAndMootCausesProveThatNothingRan() {
+        for (int cause = 0; cause < 256; cause++) {
+            boolean proof = ReleaseOutcomes.beforeAnswer(cause).neverRan();
+            assertEquals(cause == 34 || cause == 102, proof, "cause " + cause);
+        }
+        assertEquals(Outcome.ERROR, ReleaseOutcomes.beforeAnswer(47));
+        assertEquals(Outcome.RESET, ReleaseOutcomes.beforeAnswer(-1));
+        assertEquals(Outcome.OK, ReleaseOutcomes.afterAnswer(16));
+        assertEquals(Outcome.CANCELLED, ReleaseOutcomes.afterAnswer(31));
+        assertEquals(Outcome.RESET, ReleaseOutcomes.afterAnswer(41));
+    }
+}
--- a/decisions/src/test/java/spanrill/decisions/OutcomeTableTest.java
+++ b/decisions/src/test/java/spanrill/decisions/OutcomeTableTest.java
@@ -25,7 +25,7 @@
 
     @ParameterizedTest
     @EnumSource(Event.class)
-    void beforeAByteIsWrittenOnlyACallOffIsNoProof(Event event) {
+    void everyEventButCancellationIsProofBeforeAByteIsWritten(Event event) {
         Outcome connecting = OutcomeTable.outcomeOf(Stage.CONNECTING, event);
         assertEquals(event != Event.CANCELLED, connecting.neverRan(), event + " gave " + connecting);
         assertEquals(connecting, OutcomeTable.outcomeOf(Stage.CONNECTED, event));
@@ -33,9 +33,9 @@
 
     @ParameterizedTest
     @EnumSource(Event.class)
-    void afterAByteIsWrittenOnlyTheBoxsOwnWordIsProof(Event event) {
-        boolean word = event == Event.REJECTED_BEFORE_START || event == Event.PROVEN_NEVER_RAN;
-        assertEquals(word, OutcomeTable.outcomeOf(Stage.WRITTEN, event).neverRan(), event.name());
+    void onlyAnAnswerOfTheBoxIsProofAfterAByteIsWritten(Event event) {
+        boolean boxAnswer = event == Event.REJECTED_BEFORE_START || event == Event.PROVEN_NEVER_RAN;
+        assertEquals(boxAnswer, OutcomeTable.outcomeOf(Stage.WRITTEN, event).neverRan(), event.name());
         assertFalse(OutcomeTable.outcomeOf(Stage.ANSWERING, event).neverRan(), event.name());
     }
 
@@ -53,12 +53,12 @@
         "WRITTEN,TOMBSTONED,ERROR",
         "CONNECTED,RESET,CONNECT_FAILED"
     })
-    void namesTheOutcome(Stage stage, Event event, Outcome outcome) {
+    void eventAtStageHasOutcome(Stage stage, Event event, Outcome outcome) {
         assertEquals(outcome, OutcomeTable.outcomeOf(stage, event));
     }
 
     @Test
-    void onlyAKnownReasonTurnsAway() {
+    void only503WithAKnownReasonIsARejectionBeforeStart() {
         assertNull(OutcomeTable.classifyStatus(200, null));
         assertEquals(Event.REJECTED_BEFORE_START, OutcomeTable.classifyStatus(503, "places"));
         assertEquals(Event.ERROR_STATUS, OutcomeTable.classifyStatus(503, null));
--- a/decisions/src/test/java/spanrill/decisions/SessionStateTest.java
+++ b/decisions/src/test/java/spanrill/decisions/SessionStateTest.java
@@ -16,54 +16,54 @@
 import spanrill.decisions.SessionState.Phase;
 
 class SessionStateTest {
-    /** Whatever is thrown at it, in any order: what it lets through keeps the rules. */
+    /** For random sequences of events, the accepted ones keep the rules of a session. */
     @Property(tries = 100_000, seed = "20261201")
-    void anySequenceKeepsTheRules(
-            @ForAll boolean once,
+    void acceptedEventsOfAnySequenceKeepTheRules(
+            @ForAll boolean paid,
             @ForAll @Size(max = 40) List<Event> events,
             @ForAll @Size(min = 40, max = 40) List<Outcome> outcomes) {
-        SessionState state = new SessionState(once);
-        Answer first = null;
-        boolean out = false;
+        SessionState state = new SessionState(paid);
+        Answer answer = null;
+        boolean attemptOpen = false;
         boolean mayHaveRun = false;
         for (int i = 0; i < events.size(); i++) {
             Event event = events.get(i);
-            boolean may = state.allows(event);
+            boolean allowed = state.allows(event);
             try {
                 if (event == Event.ATTEMPT_ENDED) {
                     state.attemptEnded(outcomes.get(i));
                     mayHaveRun |= !outcomes.get(i).neverRan();
-                    out = false;
+                    attemptOpen = false;
                 } else {
                     state.apply(event);
                     if (event == Event.SEND) {
-                        assertFalse(out, "two attempts out");
-                        assertFalse(once && mayHaveRun && first == null, "a paid set-up sent again");
-                        out = true;
+                        assertFalse(attemptOpen, "two open attempts");
+                        assertFalse(paid && mayHaveRun && answer == null, "a paid set-up was sent again");
+                        attemptOpen = true;
                     }
-                    if (event == Event.REFUSE && first == null) {
-                        assertFalse(once && mayHaveRun, "refused without proof");
+                    if (event == Event.REFUSE && answer == null) {
+                        assertFalse(paid && mayHaveRun, "refused without proof");
                     }
                     if (event == Event.PLAYS) {
-                        assertTrue(out);
-                        out = false;
+                        assertTrue(attemptOpen);
+                        attemptOpen = false;
                         mayHaveRun = true;
                     }
                 }
-                assertTrue(may);
-            } catch (IllegalTransitionException fault) {
-                assertFalse(may);
+                assertTrue(allowed);
+            } catch (IllegalTransitionException exception) {
+                assertFalse(allowed);
             }
-            if (first != null) {
-                assertEquals(first, state.answer(), "a second answer");
+            if (answer != null) {
+                assertEquals(answer, state.answer(), "a second answer");
             }
-            first = state.answer();
-            assertEquals(out && state.phase() != Phase.OVER, state.hasOpenAttempt());
+            answer = state.answer();
+            assertEquals(attemptOpen && state.phase() != Phase.OVER, state.hasOpenAttempt());
         }
     }
 
     @Test
-    void aPaidSessionThatMayHaveRunCanOnlyFail() {
+    void paidSessionThatMayHaveRunCanOnlyFail() {
         SessionState state = new SessionState(true);
         state.apply(Event.SEND);
         state.attemptEnded(Outcome.TIMEOUT);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void proofLetsAPaidSessionGoOn() {
+    void paidSessionMaySendAgainAfterProofThatNothingRan() {
         SessionState state = new SessionState(true);
         state.apply(Event.SEND);
         state.attemptEnded(Outcome.FULL);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aMoveSetsAPaidSessionUpElsewhereWithoutASecondAnswer() {
+    void movedPaidSessionIsSetUpAgainWithoutASecondAnswer() {
         SessionState state = new SessionState(true);
         state.apply(Event.SEND);
         state.apply(Event.PLAYS);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void anAttemptsEndNeedsItsOutcome() {
+    void endOfAnAttemptNeedsAnOutcome() {
         SessionState state = new SessionState(false);
         state.apply(Event.SEND);
         assertThrows(IllegalTransitionException.class, () -> state.apply(Event.ATTEMPT_ENDED));
