--- a/wire/src/main/java/spanrill/wire/TcpListener.java
+++ b/wire/src/main/java/spanrill/wire/TcpListener.java
@@ -11,35 +11,35 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Listens on TCP. */
+/** Opens listening TCP sockets. */
 public final class TcpListener {
     private TcpListener() {}
 
     /**
-     * Listens; the connections are served on the group's loops.
+     * Listens on an address and serves the connections on the event loops of the group.
      *
-     * @param backlog connections that the system may hold before they are accepted
-     * @param marks a connection that holds more unsent bytes than the upper mark takes no more until it is
-     *     under the lower
-     * @param accept sets each new connection up, or closes it
+     * @param backlog maximum number of connections that the system queues before they are accepted
+     * @param waterMarks a connection becomes unwritable when its unsent bytes exceed the high water mark, and writable
+     *     again when they fall below the low one
+     * @param initializer initializes or closes each accepted connection
      */
     public static ChannelFuture bind(
             EventLoopGroup group,
             InetSocketAddress address,
             int backlog,
-            WriteBufferWaterMark marks,
-            Consumer<SocketChannel> accept) {
+            WriteBufferWaterMark waterMarks,
+            Consumer<SocketChannel> initializer) {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, backlog)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, marks)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMarks)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        accept.accept(channel);
+                        initializer.accept(channel);
                     }
                 })
                 .bind(address);
--- a/wire/src/main/java/spanrill/wire/box/Note.java
+++ b/wire/src/main/java/spanrill/wire/box/Note.java
@@ -3,34 +3,34 @@
 import java.util.Locale;
 
 /**
- * One line of a box's notes: {@code KIND TAB ATTEMPT TAB VALUE LF}.
+ * One line in the stream of notes that a box sends to a front: {@code KIND TAB ATTEMPT TAB VALUE LF}.
  *
- * @param kind what it tells
- * @param attempt the attempt that it is told on; empty for {@link Kind#HELLO}
- * @param value its figure; for {@link Kind#HELLO} the start of the box's process, ms since 1970
+ * @param kind kind of note
+ * @param attempt key of the attempt that the note concerns; empty for {@link Kind#HELLO}
+ * @param value value of the note; for {@link Kind#HELLO} the start time of the box's process, in ms since 1970
  */
 public record Note(Kind kind, String attempt, double value) {
-    /** What a note tells. */
+    /** Kind of note, written in lower case. */
     public enum Kind {
-        /** First line of a stream: which process answers. */
+        /** First line of a stream; identifies the box's process by its start time. */
         HELLO,
-        /** Share of the rate delivered. */
+        /** Delivered rate divided by the session's rate. */
         DELIVERED,
-        /** What is asked of the link over what it gives. */
+        /** Demand on the box's link divided by its capacity. */
         LINK,
-        /** The same of the rack's uplink. */
+        /** Demand on the rack's uplink divided by its capacity. */
         UPLINK,
         /** The box ended the session. */
         OVER
     }
 
-    /** The line, with its LF. */
+    /** Formats the note as a line that ends in LF. */
     public String format() {
         return kind.name().toLowerCase(Locale.ROOT) + "\t" + attempt + "\t"
                 + String.format(Locale.ROOT, kind == Kind.HELLO ? "%.0f" : "%.4f", value) + "\n";
     }
 
-    /** Reads a line without its LF; null when it is ill-formed. */
+    /** Parses a line without its LF; returns null when the line is malformed. */
     public static Note parse(String line) {
         String[] parts = line.split("\t", -1);
         if (parts.length != 3 || parts[1].length() > 128) {
--- a/wire/src/main/java/spanrill/wire/box/package-info.java
+++ b/wire/src/main/java/spanrill/wire/box/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The link between a front and a box, over HTTP/1.1: names of paths and fields, load reports and notes. Both
- * the front and whoever writes a box read them here.
+ * The link between a front and a box, over HTTP/1.1: paths, header fields, load reports and notes. Fronts and
+ * implementations of boxes share these definitions.
  */
 package spanrill.wire.box;
--- a/wire/src/main/java/spanrill/wire/dash/InvalidMpdException.java
+++ b/wire/src/main/java/spanrill/wire/dash/InvalidMpdException.java
@@ -1,10 +1,10 @@
 package spanrill.wire.dash;
 
-/** A text that is no MPD of the sort this program reads, with the line and the reason. */
+/** A text is not an MPD that this program supports; the message names the line and the reason. */
 public final class InvalidMpdException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** A fault at a line; 0 when it has none. */
+    /** Creates an exception for a line, counted from 1; 0 means that the fault concerns no single line. */
     public InvalidMpdException(int line, String reason) {
         super((line > 0 ? "line " + line + ": " : "") + reason, null, false, false);
     }
--- a/wire/src/main/java/spanrill/wire/dash/MpdParser.java
+++ b/wire/src/main/java/spanrill/wire/dash/MpdParser.java
@@ -13,22 +13,21 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Reads the MPD of a session. Document types and entities are refused, size and depth are bounded, and what
- * the segments' names depend on must be there and fit together. What else the standard asks of a document is
- * looked at by {@link MpdValidator}.
+ * Parses the MPD of a session. Document types and entities are rejected, size and depth are limited, and the parts that
+ * determine segment names must be present and consistent. {@link MpdValidator} checks the other rules of the standard.
  */
 public final class MpdParser {
     /** Namespace of MPDs (ISO/IEC 23009-1, 5.2.3). */
     public static final String NAMESPACE = "urn:mpeg:dash:schema:mpd:2011";
-    /** Characters of a document at most. */
-    static final int MOST_CHARS = 1024 * 1024;
-    /** Depth of elements at most. */
-    static final int MOST_DEPTH = 16;
+    /** Maximum number of characters in a document. */
+    static final int MAX_CHARS = 1024 * 1024;
+    /** Maximum depth of nested elements. */
+    static final int MAX_DEPTH = 16;
 
-    private static final int MOST_REPRESENTATIONS = 64;
-    private static final int MOST_SETS = 8;
-    private static final long LONGEST_MS = 1L << 50;
-    private static final long MOST_SEGMENTS = 10_000_000;
+    private static final int MAX_REPRESENTATIONS = 64;
+    private static final int MAX_ADAPTATION_SETS = 8;
+    private static final long MAX_DURATION_MS = 1L << 50;
+    private static final long MAX_SEGMENTS = 10_000_000;
 
     private static final XMLInputFactory FACTORY = XMLInputFactory.newInstance();
 
@@ -38,66 +37,66 @@
         FACTORY.setProperty(XMLInputFactory.IS_COALESCING, true);
     }
 
-    /** An AdaptationSet as far as it was read. */
-    private static final class SetSoFar {
+    /** An AdaptationSet under construction. */
+    private static final class AdaptationSetBuilder {
         private Mpd.Content content;
         private String lang;
         private String initialization;
         private String media;
         private long timescale = 1;
-        private long segment = -1;
+        private long segmentMs = -1;
         private List<Timeline.Run> runs;
-        private long sumMs;
-        private long segments;
+        private long endMs;
+        private long segmentCount;
         private final List<Mpd.Representation> representations = new ArrayList<>();
     }
 
     private final XMLStreamReader xml;
-    private final List<SetSoFar> sets = new ArrayList<>();
+    private final List<AdaptationSetBuilder> sets = new ArrayList<>();
     private final Set<String> ids = new HashSet<>();
-    private SetSoFar set;
-    private long duration = -1;
-    private long minBuffer = -1;
-    private int rung = -1;
+    private AdaptationSetBuilder set;
+    private long durationMs = -1;
+    private long minBufferMs = -1;
+    private int rungInForce = -1;
     private String location;
-    private String base;
+    private String baseUrl;
 
     private MpdParser(XMLStreamReader xml) {
         this.xml = xml;
     }
 
-    /** A reader that resolves nothing from outside. */
-    static XMLStreamReader reader(String text) throws XMLStreamException {
+    /** Creates a reader that resolves no external entities. */
+    static XMLStreamReader newReader(String text) throws XMLStreamException {
         return FACTORY.createXMLStreamReader(new StringReader(text));
     }
 
-    /** Reads a document. */
+    /** Parses a document. */
     public static Mpd parse(String text) throws InvalidMpdException {
-        if (text.length() > MOST_CHARS) {
-            throw new InvalidMpdException(0, "longer than " + MOST_CHARS + " characters");
+        if (text.length() > MAX_CHARS) {
+            throw new InvalidMpdException(0, "longer than " + MAX_CHARS + " characters");
         }
         try {
-            return new MpdParser(reader(text)).document();
+            return new MpdParser(newReader(text)).parseDocument();
         } catch (XMLStreamException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNumber();
-            throw new InvalidMpdException(line, "is no well-formed XML");
+            throw new InvalidMpdException(line, "not well-formed XML");
         }
     }
 
-    private Mpd document() throws XMLStreamException, InvalidMpdException {
+    private Mpd parseDocument() throws XMLStreamException, InvalidMpdException {
         int depth = 0;
         while (xml.hasNext()) {
             int event = xml.next();
             if (event == XMLStreamConstants.DTD || event == XMLStreamConstants.ENTITY_REFERENCE) {
-                throw fault("a document type or entity");
+                throw fault("document types and entities are not allowed");
             } else if (event == XMLStreamConstants.START_ELEMENT) {
-                if (++depth > MOST_DEPTH) {
-                    throw fault("nests deeper than " + MOST_DEPTH);
+                if (++depth > MAX_DEPTH) {
+                    throw fault("elements nest deeper than " + MAX_DEPTH);
                 }
                 if (depth == 1 && (!xml.getLocalName().equals("MPD") || !NAMESPACE.equals(xml.getNamespaceURI()))) {
-                    throw fault("the root is no MPD of " + NAMESPACE);
+                    throw fault("the root element is not MPD of namespace " + NAMESPACE);
                 }
-                if (element(xml.getLocalName())) {
+                if (startElement(xml.getLocalName())) {
                     depth--;
                 }
             } else if (event == XMLStreamConstants.END_ELEMENT) {
@@ -107,204 +106,212 @@
                 }
             }
         }
-        return checked();
+        return build();
     }
 
-    /** Takes an element; true when its end was read too. */
-    private boolean element(String name) throws XMLStreamException, InvalidMpdException {
+    /** Processes the start of an element; returns true when the end of the element is consumed too. */
+    private boolean startElement(String name) throws XMLStreamException, InvalidMpdException {
         switch (name) {
             case "MPD" -> {
-                if (!"static".equals(text("type", "static"))) {
+                if (!"static".equals(attribute("type", "static"))) {
                     throw fault("MPD@type must be static for a recorded title");
                 }
-                duration = period("mediaPresentationDuration");
-                minBuffer = period("minBufferTime");
+                durationMs = durationAttribute("mediaPresentationDuration");
+                minBufferMs = durationAttribute("minBufferTime");
             }
             case "Location" -> {
                 location = xml.getElementText().trim();
                 return true;
             }
             case "BaseURL" -> {
-                base = xml.getElementText().trim();
+                baseUrl = xml.getElementText().trim();
                 return true;
             }
-            case "AdaptationSet" -> begin();
+            case "AdaptationSet" -> startAdaptationSet();
             case "SupplementalProperty" -> {
-                if (Mpd.RUNG_SCHEME.equals(text("schemeIdUri", ""))) {
-                    rung = (int) number("value", 0, 1000);
+                if (Mpd.RUNG_SCHEME.equals(attribute("schemeIdUri", ""))) {
+                    rungInForce = (int) numberAttribute("value", 0, 1000);
                 }
             }
-            case "SegmentTemplate" -> template();
+            case "SegmentTemplate" -> startSegmentTemplate();
             case "SegmentTimeline" -> {
-                if (within().runs != null) {
-                    throw fault("a second SegmentTimeline");
+                if (currentSet().runs != null) {
+                    throw fault("an AdaptationSet has a second SegmentTimeline");
                 }
                 set.runs = new ArrayList<>();
             }
-            case "S" -> run();
-            case "Representation" -> representation();
+            case "S" -> addRun();
+            case "Representation" -> addRepresentation();
             default -> {}
         }
         return false;
     }
 
-    private SetSoFar within() throws InvalidMpdException {
+    private AdaptationSetBuilder currentSet() throws InvalidMpdException {
         if (set == null) {
-            throw fault(xml.getLocalName() + " must stand in an AdaptationSet");
+            throw fault(xml.getLocalName() + " must be in an AdaptationSet");
         }
         return set;
     }
 
-    private void begin() throws InvalidMpdException {
-        if (sets.size() >= MOST_SETS) {
-            throw fault("more than " + MOST_SETS + " AdaptationSets");
+    private void startAdaptationSet() throws InvalidMpdException {
+        if (sets.size() >= MAX_ADAPTATION_SETS) {
+            throw fault("more than " + MAX_ADAPTATION_SETS + " AdaptationSets");
         }
-        set = new SetSoFar();
-        String content = text("contentType", text("mimeType", "").replaceAll("/.*", ""));
-        for (Mpd.Content each : Mpd.Content.values()) {
-            set.content = each.value().equals(content) ? each : set.content;
+        set = new AdaptationSetBuilder();
+        String content = attribute("contentType", attribute("mimeType", "").replaceAll("/.*", ""));
+        for (Mpd.Content candidate : Mpd.Content.values()) {
+            set.content = candidate.value().equals(content) ? candidate : set.content;
         }
         if (set.content == null) {
             throw fault("AdaptationSet@contentType must be video or audio");
         }
-        set.lang = text("lang", null);
+        set.lang = attribute("lang", null);
         sets.add(set);
     }
 
-    private void template() throws InvalidMpdException {
-        if (within().media != null) {
-            throw fault("a second SegmentTemplate");
+    private void startSegmentTemplate() throws InvalidMpdException {
+        if (currentSet().media != null) {
+            throw fault("an AdaptationSet has a second SegmentTemplate");
         }
-        set.timescale = xml.getAttributeValue(null, "timescale") == null ? 1 : number("timescale", 1, 1_000_000_000);
+        set.timescale =
+                xml.getAttributeValue(null, "timescale") == null ? 1 : numberAttribute("timescale", 1, 1_000_000_000);
         if (xml.getAttributeValue(null, "duration") != null) {
-            set.segment = number("duration", 1, Long.MAX_VALUE / 2000) * 1000 / set.timescale;
+            set.segmentMs = numberAttribute("duration", 1, Long.MAX_VALUE / 2000) * 1000 / set.timescale;
         }
-        if (!"1".equals(text("startNumber", "1"))) {
+        if (!"1".equals(attribute("startNumber", "1"))) {
             throw fault("SegmentTemplate@startNumber must be 1");
         }
-        set.initialization = text("initialization", null);
-        set.media = text("media", "");
+        set.initialization = attribute("initialization", null);
+        set.media = attribute("media", "");
         if (!set.media.contains("$Number$")) {
-            throw fault("SegmentTemplate@media must have $Number$");
+            throw fault("SegmentTemplate@media must contain $Number$");
         }
     }
 
-    private void run() throws InvalidMpdException {
-        if (within().runs == null) {
-            throw fault("S must stand in a SegmentTimeline");
+    private void addRun() throws InvalidMpdException {
+        if (currentSet().runs == null) {
+            throw fault("S must be in a SegmentTimeline");
         }
         if (set.runs.size() >= Timeline.MAX_RUNS) {
-            throw fault("more than " + Timeline.MAX_RUNS + " runs of segments");
+            throw fault("more than " + Timeline.MAX_RUNS + " S elements");
         }
         if (xml.getAttributeValue(null, "t") != null
-                && number("t", 0, LONGEST_MS) * 1000 / set.timescale != set.sumMs) {
-            throw fault("S@t leaves a gap or an overlap");
+                && numberAttribute("t", 0, MAX_DURATION_MS) * 1000 / set.timescale != set.endMs) {
+            throw fault("S@t does not match the end of the previous segments");
         }
-        long length = number("d", 1, LONGEST_MS) * 1000 / set.timescale;
-        long count = 1 + (xml.getAttributeValue(null, "r") == null ? 0 : number("r", 0, MOST_SEGMENTS));
-        if (length < 1) {
-            throw fault("S@d must be a millisecond at least");
+        long lengthMs = numberAttribute("d", 1, MAX_DURATION_MS) * 1000 / set.timescale;
+        long count = 1 + (xml.getAttributeValue(null, "r") == null ? 0 : numberAttribute("r", 0, MAX_SEGMENTS));
+        if (lengthMs < 1) {
+            throw fault("S@d must be at least 1 ms");
         }
-        set.segments += count;
-        if (set.segments > MOST_SEGMENTS || length > (LONGEST_MS - set.sumMs) / count) {
-            throw fault("more segments than a presentation has");
+        set.segmentCount += count;
+        if (set.segmentCount > MAX_SEGMENTS || lengthMs > (MAX_DURATION_MS - set.endMs) / count) {
+            throw fault("the SegmentTimeline exceeds the maximum number or duration of segments");
         }
-        set.sumMs += count * length;
-        set.runs.add(new Timeline.Run((int) count, length));
+        set.endMs += count * lengthMs;
+        set.runs.add(new Timeline.Run((int) count, lengthMs));
     }
 
-    private void representation() throws InvalidMpdException {
-        if (within().representations.size() >= MOST_REPRESENTATIONS) {
-            throw fault("more than " + MOST_REPRESENTATIONS + " Representations");
+    private void addRepresentation() throws InvalidMpdException {
+        if (currentSet().representations.size() >= MAX_REPRESENTATIONS) {
+            throw fault("more than " + MAX_REPRESENTATIONS + " Representations");
         }
-        String id = text("id", "");
+        String id = attribute("id", "");
         if (id.isEmpty() || !ids.add(id)) {
-            throw fault("Representation@id must be given, each once");
+            throw fault("Representation@id is missing or not unique");
         }
         if (set.content == Mpd.Content.VIDEO) {
-            number("id", 0, 1000);
+            numberAttribute("id", 0, 1000);
         }
-        set.representations.add(new Mpd.Representation(id, number("bandwidth", 1, 1L << 40), text("codecs", "")));
+        set.representations.add(
+                new Mpd.Representation(id, numberAttribute("bandwidth", 1, 1L << 40), attribute("codecs", "")));
     }
 
-    private Mpd checked() throws InvalidMpdException {
-        if (duration < 0 || minBuffer < 0) {
-            throw new InvalidMpdException(0, "MPD@mediaPresentationDuration and @minBufferTime must be given");
+    private Mpd build() throws InvalidMpdException {
+        if (durationMs < 0 || minBufferMs < 0) {
+            throw new InvalidMpdException(0, "MPD@mediaPresentationDuration or @minBufferTime is missing");
         }
-        List<Mpd.AdaptationSet> read = new ArrayList<>();
-        for (SetSoFar each : sets) {
-            read.add(checked(each));
+        List<Mpd.AdaptationSet> adaptationSets = new ArrayList<>();
+        for (AdaptationSetBuilder builder : sets) {
+            adaptationSets.add(build(builder));
         }
-        Mpd mpd = new Mpd(duration, minBuffer, location, base, rung, List.copyOf(read));
+        Mpd mpd = new Mpd(durationMs, minBufferMs, location, baseUrl, rungInForce, List.copyOf(adaptationSets));
         if (mpd.video() == null) {
             throw new InvalidMpdException(0, "there is no AdaptationSet of video");
         }
         List<Mpd.Representation> video = mpd.videoRepresentations();
-        return rung >= 0
+        return rungInForce >= 0
                 ? mpd
                 : new Mpd(
-                        duration,
-                        minBuffer,
+                        durationMs,
+                        minBufferMs,
                         location,
-                        base,
+                        baseUrl,
                         Integer.parseInt(video.get(video.size() - 1).id()),
                         mpd.sets());
     }
 
-    private Mpd.AdaptationSet checked(SetSoFar each) throws InvalidMpdException {
-        if (each.media == null || (each.segment <= 0 && each.runs == null)) {
+    private Mpd.AdaptationSet build(AdaptationSetBuilder builder) throws InvalidMpdException {
+        if (builder.media == null || (builder.segmentMs <= 0 && builder.runs == null)) {
             throw new InvalidMpdException(0, "there is no SegmentTemplate with a duration or a SegmentTimeline");
         }
-        if (each.representations.isEmpty()) {
+        if (builder.representations.isEmpty()) {
             throw new InvalidMpdException(0, "there is no Representation");
         }
-        if (each.representations.size() > 1 && !each.media.contains("$RepresentationID$")) {
-            throw new InvalidMpdException(0, "SegmentTemplate@media must have $RepresentationID$");
+        if (builder.representations.size() > 1 && !builder.media.contains("$RepresentationID$")) {
+            throw new InvalidMpdException(0, "SegmentTemplate@media must contain $RepresentationID$");
         }
-        for (int i = 1; i < each.representations.size(); i++) {
-            if (each.representations.get(i).bandwidth()
-                    <= each.representations.get(i - 1).bandwidth()) {
-                throw new InvalidMpdException(0, "Representations must rise in bandwidth");
+        for (int i = 1; i < builder.representations.size(); i++) {
+            if (builder.representations.get(i).bandwidth()
+                    <= builder.representations.get(i - 1).bandwidth()) {
+                throw new InvalidMpdException(0, "Representations must be in increasing order of bandwidth");
             }
         }
-        if (each.runs != null && each.runs.isEmpty()) {
-            throw new InvalidMpdException(0, "a SegmentTimeline without segments");
+        if (builder.runs != null && builder.runs.isEmpty()) {
+            throw new InvalidMpdException(0, "a SegmentTimeline has no S elements");
         }
-        if (each.runs == null && duration / each.segment > MOST_SEGMENTS) {
-            throw new InvalidMpdException(0, "more segments than a presentation has");
+        if (builder.runs == null && durationMs / builder.segmentMs > MAX_SEGMENTS) {
+            throw new InvalidMpdException(0, "the presentation exceeds the maximum number of segments");
         }
-        Timeline timeline =
-                each.runs == null ? Timeline.uniform(Math.max(1, duration), each.segment) : new Timeline(each.runs);
+        Timeline timeline = builder.runs == null
+                ? Timeline.uniform(Math.max(1, durationMs), builder.segmentMs)
+                : new Timeline(builder.runs);
         return new Mpd.AdaptationSet(
-                each.content, each.lang, timeline, each.initialization, each.media, List.copyOf(each.representations));
+                builder.content,
+                builder.lang,
+                timeline,
+                builder.initialization,
+                builder.media,
+                List.copyOf(builder.representations));
     }
 
-    private String text(String name, String fallback) {
+    private String attribute(String name, String fallback) {
         String value = xml.getAttributeValue(null, name);
         return value == null ? fallback : value;
     }
 
-    private long number(String name, long least, long most) throws InvalidMpdException {
+    private long numberAttribute(String name, long min, long max) throws InvalidMpdException {
         String value = xml.getAttributeValue(null, name);
         if (value == null || !value.matches("\\d{1,18}")) {
-            throw fault(xml.getLocalName() + "@" + name + " must be a whole number");
+            throw fault(xml.getLocalName() + "@" + name + " must be a whole number of 1 to 18 digits");
         }
         long number = Long.parseLong(value);
-        if (number < least || number > most) {
-            throw fault(xml.getLocalName() + "@" + name + " must be from " + least + " to " + most);
+        if (number < min || number > max) {
+            throw fault(xml.getLocalName() + "@" + name + " must be from " + min + " to " + max);
         }
         return number;
     }
 
-    private long period(String name) throws InvalidMpdException {
+    private long durationAttribute(String name) throws InvalidMpdException {
         try {
-            Duration parsed = Duration.parse(text(name, ""));
-            if (parsed.isNegative() || parsed.getSeconds() > LONGEST_MS / 1000) {
+            Duration parsed = Duration.parse(attribute(name, ""));
+            if (parsed.isNegative() || parsed.getSeconds() > MAX_DURATION_MS / 1000) {
                 throw fault("MPD@" + name + " is out of range");
             }
             return parsed.toMillis();
         } catch (DateTimeParseException e) {
-            throw fault("MPD@" + name + " is no duration (ISO 8601)");
+            throw fault("MPD@" + name + " is not a duration (ISO 8601)");
         }
     }
 
--- a/wire/src/main/java/spanrill/wire/dash/MpdValidator.java
+++ b/wire/src/main/java/spanrill/wire/dash/MpdValidator.java
@@ -14,13 +14,12 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Checks an MPD against the schema and the rules of ISO/IEC 23009-1 that bear on recorded titles with
- * segments by template (profile isoff-live, 8.4): which elements stand in which and in what order, which
- * attributes must be there and what they look like, and what must fit together. Unlike {@link MpdParser} it
- * goes on after a finding, and it looks at what this program doesn't read.
+ * Checks an MPD against the schema and rules of ISO/IEC 23009-1 for recorded titles with template-based segments (profile
+ * isoff-live, 8.4): the nesting and order of elements, the presence and form of attributes, and the consistency between
+ * them. Unlike {@link MpdParser}, the validator continues after a finding and checks parts that this program does not use.
  */
 public final class MpdValidator {
-    private static final int MOST_FINDINGS = 50;
+    private static final int MAX_FINDINGS = 50;
     private static final Pattern DURATION =
             Pattern.compile("P(?=.)(\\d+Y)?(\\d+M)?(\\d+D)?(T(?=\\d)(\\d+H)?(\\d+M)?(\\d+(\\.\\d+)?S)?)?");
     private static final Pattern UNSIGNED = Pattern.compile("\\d{1,18}");
@@ -28,28 +27,29 @@
             Pattern.compile("[A-Za-z0-9]{2,8}(\\.[A-Za-z0-9.-]+)?" + "(,[A-Za-z0-9]{2,8}(\\.[A-Za-z0-9.-]+)?)*");
 
     /**
-     * Something that is wrong.
+     * A violation of the standard.
      *
-     * @param line where, from 1; 0 for the document as a whole
-     * @param text what, with the clause that asks for it
+     * @param line line number from 1; 0 for the document as a whole
+     * @param text description of the violation, with the clause of the standard where one applies
      */
     public record Finding(int line, String text) {}
 
-    /** What an element of the schema is like. */
-    private record Shape(List<String> children, Map<String, Pattern> required, Map<String, Pattern> optional) {}
+    /** Allowed children in schema order, and required and optional attributes with the form of their values. */
+    private record ElementSchema(List<String> children, Map<String, Pattern> required, Map<String, Pattern> optional) {}
 
     private static final Pattern ANY = Pattern.compile(".*", Pattern.DOTALL);
-    private static final Map<String, Shape> SHAPES = new HashMap<>();
+    private static final Map<String, ElementSchema> SCHEMAS = new HashMap<>();
 
     static {
-        // Children in the order of the schema (5.3.1.3, 5.3.2.3, 5.3.3.3, 5.3.5.3, 5.3.9); descriptors of
-        // any kind.
-        shape(
+        // Children are in the order of the schema (5.3.1.3, 5.3.2.3, 5.3.3.3, 5.3.5.3, 5.3.9); descriptors may be of
+        // any
+        // kind.
+        define(
                 "MPD",
                 List.of("ProgramInformation", "BaseURL", "Location", "PatchLocation", "Metrics", "Period"),
                 Map.of("profiles", ANY, "minBufferTime", DURATION),
                 Map.of("type", Pattern.compile("static|dynamic"), "mediaPresentationDuration", DURATION));
-        shape(
+        define(
                 "Period",
                 List.of(
                         "BaseURL",
@@ -63,7 +63,7 @@
                         "SupplementalProperty"),
                 Map.of(),
                 Map.of("start", DURATION, "duration", DURATION));
-        shape(
+        define(
                 "AdaptationSet",
                 List.of(
                         "FramePacking",
@@ -94,7 +94,7 @@
                         Pattern.compile("[0-6]"),
                         "codecs",
                         CODECS));
-        shape(
+        define(
                 "Representation",
                 List.of(
                         "FramePacking",
@@ -110,7 +110,7 @@
                         "SegmentTemplate"),
                 Map.of("id", Pattern.compile("\\S+"), "bandwidth", UNSIGNED),
                 Map.of("codecs", CODECS));
-        shape(
+        define(
                 "SegmentTemplate",
                 List.of("Initialization", "RepresentationIndex", "SegmentTimeline"),
                 Map.of("media", ANY),
@@ -123,44 +123,44 @@
                         UNSIGNED,
                         "presentationTimeOffset",
                         UNSIGNED));
-        shape("SegmentTimeline", List.of("S"), Map.of(), Map.of());
-        shape("S", List.of(), Map.of("d", UNSIGNED), Map.of("t", UNSIGNED, "r", Pattern.compile("-?\\d{1,9}")));
+        define("SegmentTimeline", List.of("S"), Map.of(), Map.of());
+        define("S", List.of(), Map.of("d", UNSIGNED), Map.of("t", UNSIGNED, "r", Pattern.compile("-?\\d{1,9}")));
     }
 
-    private static void shape(
+    private static void define(
             String name, List<String> children, Map<String, Pattern> required, Map<String, Pattern> optional) {
-        SHAPES.put(name, new Shape(children, required, optional));
+        SCHEMAS.put(name, new ElementSchema(children, required, optional));
     }
 
-    private static final class Open {
+    private static final class OpenElement {
         private final String name;
-        private int order;
+        private int position;
         private final Map<String, String> attributes = new HashMap<>();
-        private final Set<String> seen = new HashSet<>();
-        private boolean template;
+        private final Set<String> seenChildren = new HashSet<>();
+        private boolean hasSegmentTemplate;
 
-        Open(String name) {
+        OpenElement(String name) {
             this.name = name;
         }
     }
 
     private final List<Finding> findings = new ArrayList<>();
-    private final Deque<Open> open = new ArrayDeque<>();
-    private final Set<String> representations = new HashSet<>();
-    private final Set<String> sets = new HashSet<>();
+    private final Deque<OpenElement> openElements = new ArrayDeque<>();
+    private final Set<String> representationIds = new HashSet<>();
+    private final Set<String> adaptationSetIds = new HashSet<>();
     private XMLStreamReader xml;
 
     private MpdValidator() {}
 
-    /** What is wrong with a document, in its order; empty when nothing is. */
+    /** Returns the violations in the order of the document; empty when the document is valid. */
     public static List<Finding> check(String text) {
         MpdValidator validator = new MpdValidator();
-        validator.run(text);
+        validator.validate(text);
         return List.copyOf(validator.findings);
     }
 
-    private void found(String text) {
-        if (findings.size() < MOST_FINDINGS) {
+    private void report(String text) {
+        if (findings.size() < MAX_FINDINGS) {
             findings.add(new Finding(
                     xml == null || xml.getLocation() == null
                             ? 0
@@ -169,174 +169,175 @@
         }
     }
 
-    private void run(String text) {
-        if (text.length() > MpdParser.MOST_CHARS) {
-            found("longer than " + MpdParser.MOST_CHARS + " characters");
+    private void validate(String text) {
+        if (text.length() > MpdParser.MAX_CHARS) {
+            report("longer than " + MpdParser.MAX_CHARS + " characters");
             return;
         }
         try {
-            xml = MpdParser.reader(text);
+            xml = MpdParser.newReader(text);
             while (xml.hasNext()) {
                 switch (xml.next()) {
                     case XMLStreamConstants.DTD, XMLStreamConstants.ENTITY_REFERENCE -> {
-                        found("a document type or entity");
+                        report("document types and entities are not allowed");
                         return;
                     }
                     case XMLStreamConstants.START_ELEMENT -> {
-                        if (open.size() >= MpdParser.MOST_DEPTH) {
-                            found("nests deeper than " + MpdParser.MOST_DEPTH);
+                        if (openElements.size() >= MpdParser.MAX_DEPTH) {
+                            report("elements nest deeper than " + MpdParser.MAX_DEPTH);
                             return;
                         }
-                        begin(xml.getLocalName());
+                        startElement(xml.getLocalName());
                     }
-                    case XMLStreamConstants.END_ELEMENT -> end(open.pop());
+                    case XMLStreamConstants.END_ELEMENT -> endElement(openElements.pop());
                     default -> {}
                 }
             }
         } catch (XMLStreamException e) {
-            found("is no well-formed XML");
+            report("not well-formed XML");
         }
     }
 
-    private void begin(String name) {
-        Open parent = open.peek();
-        Open element = new Open(name);
+    private void startElement(String name) {
+        OpenElement parent = openElements.peek();
+        OpenElement element = new OpenElement(name);
         for (int i = 0; i < xml.getAttributeCount(); i++) {
             element.attributes.put(xml.getAttributeLocalName(i), xml.getAttributeValue(i));
         }
-        boolean own = MpdParser.NAMESPACE.equals(xml.getNamespaceURI());
-        if (parent == null && (!own || !name.equals("MPD"))) {
-            found("the root is no MPD of " + MpdParser.NAMESPACE + " (5.2.3)");
+        boolean inMpdNamespace = MpdParser.NAMESPACE.equals(xml.getNamespaceURI());
+        if (parent == null && (!inMpdNamespace || !name.equals("MPD"))) {
+            report("the root element is not MPD of namespace " + MpdParser.NAMESPACE + " (5.2.3)");
         }
-        if (own && parent != null) {
-            place(parent, name);
+        if (inMpdNamespace && parent != null) {
+            checkPosition(parent, name);
         }
-        // Elements of other namespaces may stand anywhere (5.2.3.3) and are not looked into.
-        if (own && SHAPES.containsKey(name)) {
-            attributes(element, SHAPES.get(name));
-            meaning(parent, element);
+        // Elements of other namespaces are allowed anywhere (5.2.3.3) and are not checked.
+        if (inMpdNamespace && SCHEMAS.containsKey(name)) {
+            checkAttributes(element, SCHEMAS.get(name));
+            checkRules(parent, element);
         }
-        open.push(element);
+        openElements.push(element);
     }
 
-    private void place(Open parent, String name) {
-        Shape shape = SHAPES.get(parent.name);
-        parent.seen.add(name);
-        if (shape == null) {
+    private void checkPosition(OpenElement parent, String name) {
+        ElementSchema schema = SCHEMAS.get(parent.name);
+        parent.seenChildren.add(name);
+        if (schema == null) {
             return;
         }
-        int order = shape.children().indexOf(name);
-        if (order < 0) {
-            found(name + " can't stand in " + parent.name);
-        } else if (order < parent.order) {
-            found(name + " must come before " + shape.children().get(parent.order) + " in " + parent.name);
+        int position = schema.children().indexOf(name);
+        if (position < 0) {
+            report(name + " is not allowed in " + parent.name);
+        } else if (position < parent.position) {
+            report(name + " must come before " + schema.children().get(parent.position) + " in " + parent.name);
         } else {
-            parent.order = order;
+            parent.position = position;
         }
     }
 
-    private void attributes(Open element, Shape shape) {
-        shape.required().forEach((name, pattern) -> {
+    private void checkAttributes(OpenElement element, ElementSchema schema) {
+        schema.required().forEach((name, pattern) -> {
             if (!element.attributes.containsKey(name)) {
-                found(element.name + "@" + name + " must be given");
+                report(element.name + "@" + name + " is missing");
             }
         });
         element.attributes.forEach((name, value) -> {
             Pattern pattern =
-                    shape.required().getOrDefault(name, shape.optional().get(name));
+                    schema.required().getOrDefault(name, schema.optional().get(name));
             if (pattern != null && !pattern.matcher(value).matches()) {
-                found(element.name + "@" + name + " can't be \""
+                report(element.name + "@" + name + " has the invalid value \""
                         + (value.length() > 40 ? value.substring(0, 40) + "..." : value) + "\"");
             }
         });
     }
 
-    private String inherited(String name) {
-        for (Open each : open) {
-            if (each.attributes.containsKey(name)) {
-                return each.attributes.get(name);
+    private String inheritedAttribute(String name) {
+        for (OpenElement ancestor : openElements) {
+            if (ancestor.attributes.containsKey(name)) {
+                return ancestor.attributes.get(name);
             }
         }
         return null;
     }
 
-    private void meaning(Open parent, Open element) {
+    private void checkRules(OpenElement parent, OpenElement element) {
         switch (element.name) {
             case "MPD" -> {
                 if (!"dynamic".equals(element.attributes.get("type"))
                         && !element.attributes.containsKey("mediaPresentationDuration")) {
-                    found("a static MPD must give MPD@mediaPresentationDuration (5.3.1.2)");
+                    report("a static MPD must have MPD@mediaPresentationDuration (5.3.1.2)");
                 }
             }
             case "AdaptationSet" -> {
                 String id = element.attributes.get("id");
-                if (id != null && !sets.add(id)) {
-                    found("AdaptationSet@id " + id + " is there twice (5.3.3.2)");
+                if (id != null && !adaptationSetIds.add(id)) {
+                    report("AdaptationSet@id " + id + " is not unique (5.3.3.2)");
                 }
             }
             case "Representation" -> {
                 String id = element.attributes.get("id");
-                if (id != null && !representations.add(id)) {
-                    found("Representation@id " + id + " is there twice in its Period (5.3.5.2)");
+                if (id != null && !representationIds.add(id)) {
+                    report("Representation@id " + id + " is not unique in its Period (5.3.5.2)");
                 }
                 if ("0".equals(element.attributes.get("bandwidth"))) {
-                    found("Representation@bandwidth must be above 0");
+                    report("Representation@bandwidth must be above 0");
                 }
-                if (!element.attributes.containsKey("mimeType") && inherited("mimeType") == null) {
-                    found("Representation without mimeType, its own or its AdaptationSet's (5.3.7.2)");
+                if (!element.attributes.containsKey("mimeType") && inheritedAttribute("mimeType") == null) {
+                    report("neither the Representation nor its AdaptationSet has a mimeType (5.3.7.2)");
                 }
-                if (!element.attributes.containsKey("codecs") && inherited("codecs") == null) {
-                    found("Representation without codecs, its own or its AdaptationSet's (8.4.2)");
+                if (!element.attributes.containsKey("codecs") && inheritedAttribute("codecs") == null) {
+                    report("neither the Representation nor its AdaptationSet has codecs (8.4.2)");
                 }
             }
-            case "SegmentTemplate" -> template(parent, element);
+            case "SegmentTemplate" -> checkSegmentTemplate(parent, element);
             default -> {}
         }
     }
 
-    private void template(Open parent, Open element) {
-        parent.template = true;
+    private void checkSegmentTemplate(OpenElement parent, OpenElement element) {
+        parent.hasSegmentTemplate = true;
         String media = element.attributes.getOrDefault("media", "");
-        String left =
+        String unknown =
                 media.replace("$$", "").replaceAll("\\$(RepresentationID|(Number|Time|Bandwidth)(%0\\d+d)?)\\$", "");
-        if (left.contains("$")) {
-            found("SegmentTemplate@media has an unknown identifier (5.3.9.4.4)");
+        if (unknown.contains("$")) {
+            report("SegmentTemplate@media has an unknown identifier (5.3.9.4.4)");
         }
         if (media.contains("$Time$") == media.contains("$Number$")) {
-            found("SegmentTemplate@media must have one of $Number$ and $Time$ (5.3.9.4.4)");
+            report("SegmentTemplate@media must contain either $Number$ or $Time$ (5.3.9.4.4)");
         }
         if (element.attributes.getOrDefault("initialization", "").matches(".*\\$(Number|Time).*")) {
-            found("SegmentTemplate@initialization can't have $Number$ or $Time$ (5.3.9.4.2)");
+            report("SegmentTemplate@initialization must not contain $Number$ or $Time$ (5.3.9.4.2)");
         }
     }
 
-    private void end(Open element) {
+    private void endElement(OpenElement element) {
         switch (element.name) {
             case "MPD" -> {
-                if (!element.seen.contains("Period")) {
-                    found("an MPD without a Period (5.3.1.2)");
+                if (!element.seenChildren.contains("Period")) {
+                    report("the MPD has no Period (5.3.1.2)");
                 }
             }
             case "SegmentTemplate" -> {
-                boolean timeline = element.seen.contains("SegmentTimeline");
-                if (timeline == element.attributes.containsKey("duration")) {
-                    found("SegmentTemplate must have one of @duration and SegmentTimeline (5.3.9.2.2)");
+                boolean hasTimeline = element.seenChildren.contains("SegmentTimeline");
+                if (hasTimeline == element.attributes.containsKey("duration")) {
+                    report("SegmentTemplate must have either @duration or SegmentTimeline (5.3.9.2.2)");
                 }
             }
             case "SegmentTimeline" -> {
-                if (!element.seen.contains("S")) {
-                    found("a SegmentTimeline without S (5.3.9.6)");
+                if (!element.seenChildren.contains("S")) {
+                    report("the SegmentTimeline has no S elements (5.3.9.6)");
                 }
             }
             case "AdaptationSet" -> {
-                if (!element.seen.contains("Representation")) {
-                    found("an AdaptationSet without a Representation");
+                if (!element.seenChildren.contains("Representation")) {
+                    report("the AdaptationSet has no Representation");
                 }
             }
             case "Representation" -> {
-                boolean segments = element.template || open.stream().anyMatch(each -> each.template);
-                if (!segments) {
-                    found("a Representation without a SegmentTemplate (8.4.2)");
+                boolean hasTemplate = element.hasSegmentTemplate
+                        || openElements.stream().anyMatch(ancestor -> ancestor.hasSegmentTemplate);
+                if (!hasTemplate) {
+                    report("the Representation has no SegmentTemplate (8.4.2)");
                 }
             }
             default -> {}
--- a/wire/src/main/java/spanrill/wire/dash/MpdWriter.java
+++ b/wire/src/main/java/spanrill/wire/dash/MpdWriter.java
@@ -6,15 +6,15 @@
 import javax.xml.stream.XMLStreamWriter;
 
 /**
- * Writes an MPD. Segments of one length are told by SegmentTemplate@duration, others by a SegmentTimeline
- * (ISO/IEC 23009-1, 5.3.9.6); both are addressed by number.
+ * Writes an MPD as XML. Segments of uniform duration are described by SegmentTemplate@duration, others by a
+ * SegmentTimeline (ISO/IEC 23009-1, 5.3.9.6); both are addressed by number.
  */
 public final class MpdWriter {
     private static final XMLOutputFactory FACTORY = XMLOutputFactory.newInstance();
 
     private MpdWriter() {}
 
-    /** The document's text. */
+    /** Returns the text of the document. */
     public static String write(Mpd mpd) {
         StringWriter out = new StringWriter(1024);
         try {
@@ -22,35 +22,36 @@
             xml.writeStartDocument("UTF-8", "1.0");
             xml.writeStartElement("MPD");
             xml.writeDefaultNamespace(MpdParser.NAMESPACE);
-            attributes(
+            writeAttributes(
                     xml,
                     "profiles",
                     "urn:mpeg:dash:profile:isoff-live:2011",
                     "type",
                     "static",
                     "mediaPresentationDuration",
-                    seconds(mpd.durationMs()),
+                    formatDuration(mpd.durationMs()),
                     "minBufferTime",
-                    seconds(mpd.minBufferMs()));
-            text(xml, "BaseURL", mpd.baseUrl());
-            text(xml, "Location", mpd.location());
+                    formatDuration(mpd.minBufferMs()));
+            writeText(xml, "BaseURL", mpd.baseUrl());
+            writeText(xml, "Location", mpd.location());
             xml.writeStartElement("Period");
-            attributes(xml, "id", "0", "start", "PT0S");
+            writeAttributes(xml, "id", "0", "start", "PT0S");
             for (int i = 0; i < mpd.sets().size(); i++) {
-                set(xml, mpd, mpd.sets().get(i), i);
+                writeAdaptationSet(xml, mpd, mpd.sets().get(i), i);
             }
             xml.writeEndDocument();
             xml.close();
         } catch (XMLStreamException e) {
-            throw new IllegalStateException("writing to memory failed", e);
+            throw new IllegalStateException("the MPD cannot be written to memory", e);
         }
         return out.toString();
     }
 
-    private static void set(XMLStreamWriter xml, Mpd mpd, Mpd.AdaptationSet set, int id) throws XMLStreamException {
+    private static void writeAdaptationSet(XMLStreamWriter xml, Mpd mpd, Mpd.AdaptationSet set, int id)
+            throws XMLStreamException {
         boolean video = set.content() == Mpd.Content.VIDEO;
         xml.writeStartElement("AdaptationSet");
-        attributes(
+        writeAttributes(
                 xml,
                 "id",
                 Integer.toString(id),
@@ -63,26 +64,33 @@
                 "startWithSAP",
                 "1");
         if (set.lang() != null) {
-            attributes(xml, "lang", set.lang());
+            writeAttributes(xml, "lang", set.lang());
         }
         if (video) {
-            attributes(xml, "bitstreamSwitching", "true");
+            writeAttributes(xml, "bitstreamSwitching", "true");
             xml.writeEmptyElement("SupplementalProperty");
-            attributes(xml, "schemeIdUri", Mpd.RUNG_SCHEME, "value", Integer.toString(mpd.rungInForce()));
+            writeAttributes(xml, "schemeIdUri", Mpd.RUNG_SCHEME, "value", Integer.toString(mpd.rungInForce()));
         }
-        segments(xml, set);
-        for (Mpd.Representation each : set.representations()) {
+        writeSegmentTemplate(xml, set);
+        for (Mpd.Representation representation : set.representations()) {
             xml.writeEmptyElement("Representation");
-            attributes(xml, "id", each.id(), "codecs", each.codecs(), "bandwidth", Long.toString(each.bandwidth()));
+            writeAttributes(
+                    xml,
+                    "id",
+                    representation.id(),
+                    "codecs",
+                    representation.codecs(),
+                    "bandwidth",
+                    Long.toString(representation.bandwidth()));
         }
         xml.writeEndElement();
     }
 
-    private static void segments(XMLStreamWriter xml, Mpd.AdaptationSet set) throws XMLStreamException {
+    private static void writeSegmentTemplate(XMLStreamWriter xml, Mpd.AdaptationSet set) throws XMLStreamException {
         Timeline timeline = set.timeline();
         if (timeline.isUniform()) {
             xml.writeEmptyElement("SegmentTemplate");
-            attributes(
+            writeAttributes(
                     xml,
                     "timescale",
                     "1000",
@@ -97,7 +105,7 @@
             return;
         }
         xml.writeStartElement("SegmentTemplate");
-        attributes(
+        writeAttributes(
                 xml,
                 "timescale",
                 "1000",
@@ -112,25 +120,25 @@
         for (Timeline.Run run : timeline.runs()) {
             xml.writeEmptyElement("S");
             if (first) {
-                attributes(xml, "t", "0");
+                writeAttributes(xml, "t", "0");
                 first = false;
             }
-            attributes(xml, "d", Long.toString(run.lengthMs()));
+            writeAttributes(xml, "d", Long.toString(run.lengthMs()));
             if (run.count() > 1) {
-                attributes(xml, "r", Integer.toString(run.count() - 1));
+                writeAttributes(xml, "r", Integer.toString(run.count() - 1));
             }
         }
         xml.writeEndElement();
         xml.writeEndElement();
     }
 
-    private static void attributes(XMLStreamWriter xml, String... pairs) throws XMLStreamException {
-        for (int i = 0; i < pairs.length; i += 2) {
-            xml.writeAttribute(pairs[i], pairs[i + 1]);
+    private static void writeAttributes(XMLStreamWriter xml, String... namesAndValues) throws XMLStreamException {
+        for (int i = 0; i < namesAndValues.length; i += 2) {
+            xml.writeAttribute(namesAndValues[i], namesAndValues[i + 1]);
         }
     }
 
-    private static void text(XMLStreamWriter xml, String name, String value) throws XMLStreamException {
+    private static void writeText(XMLStreamWriter xml, String name, String value) throws XMLStreamException {
         if (value != null) {
             xml.writeStartElement(name);
             xml.writeCharacters(value);
@@ -138,7 +146,7 @@
         }
     }
 
-    private static String seconds(long ms) {
+    private static String formatDuration(long ms) {
         return "PT" + ms / 1000 + (ms % 1000 == 0 ? "" : String.format(".%03d", ms % 1000)) + "S";
     }
 }
--- a/wire/src/main/java/spanrill/wire/dash/Timeline.java
+++ b/wire/src/main/java/spanrill/wire/dash/Timeline.java
@@ -4,56 +4,56 @@
 import java.util.List;
 
 /**
- * The segments of a presentation from its beginning, without gaps, in ms: runs of segments of one length
- * (ISO/IEC 23009-1, 5.3.9.6, with a timescale of 1000).
+ * The segments of a presentation from its start without gaps, as runs of segments of the same duration (ISO/IEC 23009-1,
+ * 5.3.9.6, with a timescale of 1000).
  *
- * @param runs in order
+ * @param runs runs in order of presentation
  */
 public record Timeline(List<Run> runs) {
-    /** Runs that are written or read at most. */
+    /** Maximum number of runs in a document that is read. */
     public static final int MAX_RUNS = 20_000;
 
     /**
-     * Segments of one length.
+     * Consecutive segments of the same duration.
      *
-     * @param count how many
-     * @param lengthMs length of each
+     * @param count number of segments, at least 1
+     * @param lengthMs duration of each segment in ms, at least 1
      */
     public record Run(int count, long lengthMs) {
-        /** Checks both. */
+        /** Validates the components. */
         public Run {
             if (count < 1 || lengthMs < 1) {
-                throw new IllegalArgumentException("a run has segments, and they have a length");
+                throw new IllegalArgumentException("a run needs at least one segment of at least 1 ms");
             }
         }
     }
 
-    /** Takes the runs; neighbours of the same length become one. */
+    /** Creates a timeline; adjacent runs of the same segment duration are merged. */
     public Timeline {
-        List<Run> joined = new ArrayList<>();
+        List<Run> merged = new ArrayList<>();
         for (Run run : runs) {
-            Run last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
+            Run last = merged.isEmpty() ? null : merged.get(merged.size() - 1);
             if (last != null && last.lengthMs() == run.lengthMs()) {
-                joined.set(joined.size() - 1, new Run(last.count() + run.count(), run.lengthMs()));
+                merged.set(merged.size() - 1, new Run(last.count() + run.count(), run.lengthMs()));
             } else {
-                joined.add(run);
+                merged.add(run);
             }
         }
-        if (joined.isEmpty()) {
-            throw new IllegalArgumentException("a presentation has at least one segment");
+        if (merged.isEmpty()) {
+            throw new IllegalArgumentException("a timeline needs at least one segment");
         }
-        runs = List.copyOf(joined);
+        runs = List.copyOf(merged);
     }
 
-    /** Segments of one length, the last one cut off at the end of the presentation. */
+    /** Creates segments of the same duration; the last one is shortened to the end of the presentation. */
     public static Timeline uniform(long durationMs, long segmentMs) {
         return repeating(durationMs, List.of(segmentMs));
     }
 
-    /** Segments whose lengths repeat a pattern, the last one cut off at the end of the presentation. */
+    /** Creates segments whose durations repeat a pattern; the last one is shortened to the end of the presentation. */
     public static Timeline repeating(long durationMs, List<Long> patternMs) {
         if (durationMs < 1 || patternMs.isEmpty()) {
-            throw new IllegalArgumentException("a presentation has a length, and so have its segments");
+            throw new IllegalArgumentException("the duration must be at least 1 ms and the segment pattern not empty");
         }
         List<Run> runs = new ArrayList<>();
         if (patternMs.size() == 1) {
@@ -67,15 +67,15 @@
             return new Timeline(runs);
         }
         int next = 0;
-        for (long left = durationMs; left > 0; ) {
-            long length = Math.min(left, patternMs.get(next++ % patternMs.size()));
+        for (long remaining = durationMs; remaining > 0; ) {
+            long length = Math.min(remaining, patternMs.get(next++ % patternMs.size()));
             runs.add(new Run(1, length));
-            left -= length;
+            remaining -= length;
         }
         return new Timeline(runs);
     }
 
-    /** True when all segments but the last have one length, and the last is not longer. */
+    /** Returns whether all segments but the last have the same duration and the last is not longer. */
     public boolean isUniform() {
         return runs.size() == 1
                 || (runs.size() == 2
@@ -83,24 +83,24 @@
                         && runs.get(1).lengthMs() < runs.get(0).lengthMs());
     }
 
-    /** Segments. */
+    /** Returns the number of segments. */
     public int segmentCount() {
         return runs.stream().mapToInt(Run::count).sum();
     }
 
-    /** Length of them all. */
+    /** Returns the total duration in ms. */
     public long durationMs() {
         return runs.stream().mapToLong(run -> run.count() * run.lengthMs()).sum();
     }
 
-    /** Length of a segment by its number, from 1; 0 when there is none of that number. */
+    /** Returns the duration in ms of the segment with a number, counted from 1; 0 when there is no such segment. */
     public long segmentLengthMs(int number) {
-        int left = number;
+        int remaining = number;
         for (Run run : runs) {
-            if (left >= 1 && left <= run.count()) {
+            if (remaining >= 1 && remaining <= run.count()) {
                 return run.lengthMs();
             }
-            left -= run.count();
+            remaining -= run.count();
         }
         return 0;
     }
--- a/wire/src/main/java/spanrill/wire/http/ByteRange.java
+++ b/wire/src/main/java/spanrill/wire/http/ByteRange.java
@@ -3,24 +3,24 @@
 /**
  * One range of bytes (RFC 9110 section 14.1.2).
  *
- * @param first first byte
- * @param last last byte, included
+ * @param first position of the first byte, from 0
+ * @param last position of the last byte, inclusive
  */
 public record ByteRange(long first, long last) {
-    /** How many bytes. */
+    /** Returns the number of bytes. */
     public long length() {
         return last - first + 1;
     }
 
-    /** True when the text is a range that this program serves: one range, in bytes. */
+    /** Returns whether the value of a Range field is supported: a single range, in bytes. */
     public static boolean isSupported(String text) {
         return text != null && text.matches("bytes=(\\d{1,15}-\\d{0,15}|-\\d{1,15})");
     }
 
     /**
-     * Reads an understood range against a length.
+     * Resolves a supported range against the length of the content in bytes.
      *
-     * @return null when it can't be satisfied (416)
+     * @return the range, or null when it cannot be satisfied (status 416)
      */
     public static ByteRange resolve(String text, long length) {
         String[] ends = text.substring("bytes=".length()).split("-", -1);
--- a/wire/src/main/java/spanrill/wire/http/EventStreamParser.java
+++ b/wire/src/main/java/spanrill/wire/http/EventStreamParser.java
@@ -5,71 +5,71 @@
 import java.util.Arrays;
 
 /**
- * Reads server-sent events (WHATWG HTML, section 9.2.6) from the pieces of a body. An event that is cut off
- * before its blank line is never told. Lines and data are bounded.
+ * Parses server-sent events (WHATWG HTML, section 9.2.6) from the fragments of a body. An event that is truncated before
+ * its blank line is never delivered. The size of lines and of event data is limited.
  */
 public final class EventStreamParser {
-    /** Takes events. */
+    /** Receives the parsed events. */
     public interface Sink {
         /**
-         * An event.
+         * Handles an event.
          *
-         * @param id its {@code id}, or null
-         * @param data its {@code data}, lines joined by newlines
+         * @param id value of its {@code id} field, or null
+         * @param data values of its {@code data} fields, joined by newlines
          */
         void onEvent(String id, String data);
     }
 
-    private final int most;
+    private final int maxBytes;
     private final Sink sink;
     private byte[] line = new byte[256];
     private int length;
-    private boolean afterReturn;
+    private boolean afterCr;
     private String id;
     private StringBuilder data;
 
-    /** A line, and the data of one event, may have so many bytes. */
-    public EventStreamParser(int most, Sink sink) {
-        this.most = most;
+    /** Creates a parser that limits each line and the data of each event to {@code maxBytes} bytes. */
+    public EventStreamParser(int maxBytes, Sink sink) {
+        this.maxBytes = maxBytes;
         this.sink = sink;
     }
 
     /**
-     * Reads a piece.
+     * Parses a fragment.
      *
      * @throws HttpProtocolException when a line or an event is too long
      */
-    public void feed(ByteBuf part) throws HttpProtocolException {
-        while (part.isReadable()) {
-            byte next = part.readByte();
-            if (next == '\n' && afterReturn) {
-                afterReturn = false;
+    public void feed(ByteBuf fragment) throws HttpProtocolException {
+        while (fragment.isReadable()) {
+            byte current = fragment.readByte();
+            if (current == '\n' && afterCr) {
+                afterCr = false;
                 continue;
             }
-            afterReturn = next == '\r';
-            if (next == '\n' || next == '\r') {
-                line();
+            afterCr = current == '\r';
+            if (current == '\n' || current == '\r') {
+                endLine();
                 length = 0;
                 continue;
             }
-            if (length >= most) {
-                throw new HttpProtocolException(400, "a line of an event stream is too long");
+            if (length >= maxBytes) {
+                throw new HttpProtocolException(400, "a line of the event stream is too long");
             }
             if (length == line.length) {
                 line = Arrays.copyOf(line, 2 * length);
             }
-            line[length++] = next;
+            line[length++] = current;
         }
     }
 
-    private void line() throws HttpProtocolException {
+    private void endLine() throws HttpProtocolException {
         if (length == 0) {
             if (data != null) {
-                String told = data.toString();
-                String number = id;
+                String eventData = data.toString();
+                String eventId = id;
                 data = null;
                 id = null;
-                sink.onEvent(number, told);
+                sink.onEvent(eventId, eventData);
             }
             id = null;
             return;
@@ -87,10 +87,10 @@
         } else if (field.equals("data")) {
             if (data == null) {
                 data = new StringBuilder(value);
-            } else if (data.length() + value.length() < most) {
+            } else if (data.length() + value.length() < maxBytes) {
                 data.append('\n').append(value);
             } else {
-                throw new HttpProtocolException(400, "an event is too long");
+                throw new HttpProtocolException(400, "the data of an event is too long");
             }
         }
     }
--- a/wire/src/main/java/spanrill/wire/http/Exchange.java
+++ b/wire/src/main/java/spanrill/wire/http/Exchange.java
@@ -7,8 +7,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One request at a server and its answer, which is given whole or in parts. An exchange is answered once;
- * whatever comes after its end or after its connection's is dropped. On the connection's event loop only.
+ * One request at a server and its response, which is written as a whole or in parts. An exchange is answered once; what
+ * is written after its end or after the end of its connection is discarded. Used on the connection's event loop only.
  */
 public final class Exchange {
     private final Channel channel;
@@ -18,8 +18,8 @@
     private boolean started;
     private boolean ended;
     private boolean chunked;
-    private long left;
-    private Headers also;
+    private long remaining;
+    private Headers extraHeaders;
     private Runnable onWritable;
     private Runnable onClosed;
 
@@ -30,59 +30,59 @@
         this.body = body;
     }
 
-    /** The request's head. */
+    /** Returns the head of the request. */
     public RequestHead head() {
         return head;
     }
 
-    /** The request's body. */
+    /** Returns the body of the request. */
     public byte[] body() {
         return body;
     }
 
-    /** The connection that it came on. */
+    /** Returns the connection on which the request arrived. */
     public Channel channel() {
         return channel;
     }
 
-    /** These fields go out with the answer too, whatever it is. */
+    /** Sets header fields that are added to the response, whatever its status is. */
     public void setExtraHeaders(Headers headers) {
-        also = headers;
+        extraHeaders = headers;
     }
 
-    /** Called when the connection takes more after {@link #isWritable} was false. */
+    /** Sets an action that runs when the connection becomes writable again, see {@link #isWritable}. */
     public void onWritable(Runnable action) {
         onWritable = action;
     }
 
-    /** Called once when the connection is lost before the end of the answer. */
+    /** Sets an action that runs once if the connection is lost before the response is complete. */
     public void onClosed(Runnable action) {
         onClosed = action;
     }
 
-    /** Called once when the connection is lost before the end, unless {@link #onClosed} was set already. */
+    /** Sets the action of {@link #onClosed} unless one is set already. */
     public void onClosedIfUnset(Runnable action) {
         if (onClosed == null) {
             onClosed = action;
         }
     }
 
-    /** False when the connection holds as much as it may: write no more until {@link #onWritable}. */
+    /** Returns false when the output buffer is full; callers then wait for {@link #onWritable} before writing more. */
     public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** True when the answer is complete or the connection lost. */
+    /** Returns whether the response is complete or the connection is lost. */
     public boolean isEnded() {
         return ended || !channel.isActive();
     }
 
-    /** True once a head was written. */
+    /** Returns whether the head of the response is written. */
     public boolean isStarted() {
         return started;
     }
 
-    /** Answers whole. */
+    /** Sends a complete response. */
     public void respond(int status, Headers headers, byte[] content) {
         if (isEnded() || started) {
             return;
@@ -94,33 +94,33 @@
         end();
     }
 
-    /** Answers whole with a text. */
+    /** Sends a complete response with a text body in UTF-8. */
     public void respond(int status, Headers headers, String type, String content) {
         respond(status, headers.add("content-type", type), content.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Begins an answer of so many bytes; -1: as many as come, in chunks. */
+    /** Starts a response with a body of {@code length} bytes, or of unknown length in chunks when it is -1. */
     public void start(int status, Headers headers, long length) {
         if (isEnded() || started) {
             return;
         }
         started = true;
-        for (int i = 0; also != null && i < also.size(); i++) {
-            headers.add(also.name(i), also.value(i));
+        for (int i = 0; extraHeaders != null && i < extraHeaders.size(); i++) {
+            headers.add(extraHeaders.name(i), extraHeaders.value(i));
         }
-        boolean none = status == 204 || status == 304;
-        chunked = length < 0 && !none;
-        if (chunked && head.minor() == 0) {
-            // HTTP/1.0 knows no chunks: the end of the connection ends the body.
+        boolean bodyless = status == 204 || status == 304;
+        chunked = length < 0 && !bodyless;
+        if (chunked && head.minorVersion() == 0) {
+            // HTTP/1.0 has no chunked coding: closing the connection marks the end of the body.
             chunked = false;
-            handler.closeAfter();
+            handler.closeAfterResponse();
         } else if (chunked) {
             headers.add("transfer-encoding", "chunked");
-        } else if (!none) {
+        } else if (!bodyless) {
             headers.add("content-length", Long.toString(length));
         }
-        left = length < 0 ? Long.MAX_VALUE : length;
-        if (handler.closing(head)) {
+        remaining = length < 0 ? Long.MAX_VALUE : length;
+        if (handler.closesAfter(head)) {
             headers.add("connection", "close");
         }
         ByteBuf out = channel.alloc().buffer(256);
@@ -128,19 +128,19 @@
         channel.write(out);
     }
 
-    /** Writes part of the body and takes the buffer over. */
+    /** Writes part of the body and takes ownership of the buffer. */
     public void write(ByteBuf part) {
         int bytes = part.readableBytes();
         if (isEnded() || bytes == 0 || head.method().equals("HEAD")) {
             part.release();
-            left -= bytes;
+            remaining -= bytes;
             return;
         }
-        if (bytes > left) {
+        if (bytes > remaining) {
             part.release();
-            throw new IllegalStateException("more bytes than the head says");
+            throw new IllegalStateException("the body is longer than the declared Content-Length");
         }
-        left -= bytes;
+        remaining -= bytes;
         if (chunked) {
             ByteBuf size = channel.alloc().buffer(16);
             HttpWriter.writeChunkSize(size, bytes);
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Ends the answer. One that is shorter than its head says closes the connection. */
+    /** Ends the response. A body shorter than its declared length closes the connection. */
     public void end() {
         if (ended) {
             return;
@@ -168,27 +168,27 @@
             HttpWriter.writeLastChunk(last);
             channel.write(last);
         } else if (!chunked
-                && left > 0
-                && left < Long.MAX_VALUE
+                && remaining > 0
+                && remaining < Long.MAX_VALUE
                 && !head.method().equals("HEAD")) {
             abort();
             return;
         }
         ended = true;
         channel.flush();
-        handler.answered(this);
+        handler.responseEnded(this);
     }
 
-    /** Gives the answer up: the peer sees the connection end within it. */
+    /** Closes the connection before the response is complete, so that the peer detects the truncation. */
     public void abort() {
         ended = true;
         channel.flush();
         channel.close();
     }
 
-    /** Answers, if that is still possible, and closes the connection. */
+    /** Sends a complete response if none has started, and closes the connection after it. */
     public void respondAndClose(int status, Headers headers, String type, String content) {
-        handler.closeAfter();
+        handler.closeAfterResponse();
         respond(status, headers, type, content);
     }
 
@@ -198,7 +198,7 @@
         }
     }
 
-    void lost() {
+    void connectionLost() {
         if (!ended) {
             ended = true;
             if (onClosed != null) {
--- a/wire/src/main/java/spanrill/wire/http/Headers.java
+++ b/wire/src/main/java/spanrill/wire/http/Headers.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The fields of a head, in order; names compare without case (RFC 9110 section 5.1). */
+/** Header fields in their order; names are case-insensitive (RFC 9110 section 5.1). */
 public final class Headers {
     private final List<String> names = new ArrayList<>(8);
     private final List<String> values = new ArrayList<>(8);
 
-    /** Fields by pairs of name and value. */
+    /** Creates fields from alternating names and values. */
     public static Headers of(String... pairs) {
         Headers headers = new Headers();
         for (int i = 0; i + 1 < pairs.length; i += 2) {
@@ -25,7 +25,7 @@
         return this;
     }
 
-    /** First value of a name, or null. */
+    /** Returns the value of the first field with the name, or null. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -35,16 +35,16 @@
         return null;
     }
 
-    /** How many fields have this name. */
+    /** Returns the number of fields with the name. */
     public int count(String name) {
         int count = 0;
-        for (String each : names) {
-            count += each.equalsIgnoreCase(name) ? 1 : 0;
+        for (String candidate : names) {
+            count += candidate.equalsIgnoreCase(name) ? 1 : 0;
         }
         return count;
     }
 
-    /** True when a field of that name lists the token (RFC 9110 section 5.6.1), without case. */
+    /** Returns whether a field with the name lists the token (RFC 9110 section 5.6.1), ignoring case. */
     public boolean containsToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -58,17 +58,17 @@
         return false;
     }
 
-    /** Fields. */
+    /** Returns the number of fields. */
     public int size() {
         return names.size();
     }
 
-    /** Name of a field, in small letters. */
+    /** Returns the name of the field at an index, in lower case. */
     public String name(int index) {
         return names.get(index);
     }
 
-    /** Value of a field. */
+    /** Returns the value of the field at an index. */
     public String value(int index) {
         return values.get(index);
     }
--- a/wire/src/main/java/spanrill/wire/http/HttpClientConnection.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpClientConnection.java
@@ -14,44 +14,47 @@
 import java.util.function.Consumer;
 
 /**
- * Client end of one connection: one request at a time. Times are its owner's business. On the connection's
- * event loop only.
+ * Client side of one connection, which carries one request at a time. The owner enforces timeouts. Used on the
+ * connection's event loop only.
  */
 public final class HttpClientConnection extends ChannelInboundHandlerAdapter implements HttpParser.Sink {
-    /** How an exchange was lost. */
+    /** How an exchange failed. */
     public enum Failure {
+        /** The connection failed with an I/O error. */
         RESET,
+        /** The peer closed the connection before the response was complete. */
         CLOSED,
+        /** The response was malformed. */
         MALFORMED
     }
 
-    /** Takes the answer to one request. */
+    /** Receives the response to one request. */
     public interface Listener {
-        /** The answer's head. */
+        /** Handles the head of the response. */
         void onHead(ResponseHead head);
 
-        /** Part of its body; lent for the call. */
+        /** Handles part of the body; the buffer is valid during the call only. */
         default void onData(ByteBuf part) {}
 
-        /** It is complete. */
+        /** Handles the end of the response. */
         void onEnd();
 
-        /** It was lost; nothing more comes. */
-        void onFailure(Failure loss, String reason);
+        /** Handles a failure; no other method is called afterwards. */
+        void onFailure(Failure failure, String reason);
     }
 
     private final HttpParser parser;
     private Channel channel;
     private Listener listener;
     private boolean reusable = true;
-    private Consumer<HttpClientConnection> onClosed = c -> {};
-    private Runnable onUnasked = () -> {};
+    private Consumer<HttpClientConnection> onClosed = connection -> {};
+    private Runnable onUnsolicitedData = () -> {};
 
     private HttpClientConnection(HttpLimits limits) {
         parser = new HttpParser(HttpParser.Role.RESPONSE, limits, this);
     }
 
-    /** Opens a connection; one of the two is called, on the loop. */
+    /** Opens a connection and calls either {@code opened} or {@code failed} on the event loop. */
     public static void open(
             EventLoop loop,
             InetSocketAddress address,
@@ -68,23 +71,23 @@
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(16 * 1024, 64 * 1024))
                 .handler(connection)
                 .connect(address);
-        future.addListener(f -> {
-            if (f.isSuccess()) {
+        future.addListener(result -> {
+            if (result.isSuccess()) {
                 opened.accept(connection);
             } else {
-                failed.accept(f.cause());
+                failed.accept(result.cause());
             }
         });
     }
 
-    /** Called once when the connection ends. */
+    /** Sets an action that runs once when the connection ends. */
     public void onClosed(Consumer<HttpClientConnection> action) {
         onClosed = action;
     }
 
-    /** Called when bytes come that no request asked for; the connection ends then. */
+    /** Sets an action that runs when data arrives that no request asked for; the connection is then closed. */
     public void onUnsolicitedData(Runnable action) {
-        onUnasked = action;
+        onUnsolicitedData = action;
     }
 
     @Override
@@ -92,12 +95,12 @@
         channel = ctx.channel();
     }
 
-    /** True when it may take a request. */
+    /** Returns whether the connection can carry a new request. */
     public boolean isAvailable() {
         return listener == null && reusable && channel.isActive();
     }
 
-    /** True while the connection stands. */
+    /** Returns whether the connection is open. */
     public boolean isActive() {
         return channel.isActive();
     }
@@ -105,14 +108,14 @@
     /**
      * Sends a request.
      *
-     * @return false when the connection was found ended before a byte was written, which proves that the peer
-     *     never saw it; the listener is not called then
+     * @return false when the connection is not available; nothing was written then, so the peer cannot have received
+     *     the request, and the listener is not called
      */
-    public boolean send(String method, String target, Headers headers, byte[] content, Listener answer) {
+    public boolean send(String method, String target, Headers headers, byte[] content, Listener responseListener) {
         if (!isAvailable()) {
             return false;
         }
-        listener = answer;
+        listener = responseListener;
         parser.expectResponseToHead(method.equals("HEAD"));
         if (content.length > 0 || method.equals("POST") || method.equals("PUT")) {
             headers.add("content-length", Integer.toString(content.length));
@@ -124,12 +127,12 @@
         return true;
     }
 
-    /** Reads on or holds back: what the peer sends waits in the socket's buffers meanwhile. */
-    public void setAutoRead(boolean on) {
-        channel.config().setAutoRead(on);
+    /** Enables or disables reading; while it is disabled, received data stays in the socket's buffers. */
+    public void setAutoRead(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
-    /** Gives up whatever is under way, without a word to its listener. */
+    /** Closes the connection without calling the listener of a pending exchange. */
     public void abort() {
         listener = null;
         reusable = false;
@@ -142,9 +145,9 @@
         try {
             while (in.isReadable()) {
                 if (listener == null) {
-                    // Bytes that nobody asked for: a later answer could be taken for another's.
+                    // Unsolicited data: a later response could be attributed to the wrong request.
                     if (reusable) {
-                        onUnasked.run();
+                        onUnsolicitedData.run();
                     }
                     reusable = false;
                     channel.close();
@@ -152,8 +155,8 @@
                 }
                 parser.feed(in);
             }
-        } catch (HttpProtocolException fault) {
-            lose(Failure.MALFORMED, fault.getMessage());
+        } catch (HttpProtocolException e) {
+            fail(Failure.MALFORMED, e.getMessage());
             channel.close();
         } finally {
             in.release();
@@ -175,23 +178,23 @@
 
     @Override
     public void onEnd() {
-        Listener done = listener;
+        Listener completed = listener;
         listener = null;
         channel.config().setAutoRead(true);
         if (!reusable) {
             channel.close();
         }
-        if (done != null) {
-            done.onEnd();
+        if (completed != null) {
+            completed.onEnd();
         }
     }
 
-    private void lose(Failure loss, String reason) {
-        Listener lost = listener;
+    private void fail(Failure failure, String reason) {
+        Listener failed = listener;
         listener = null;
         reusable = false;
-        if (lost != null) {
-            lost.onFailure(loss, reason);
+        if (failed != null) {
+            failed.onFailure(failure, reason);
         }
     }
 
@@ -199,17 +202,17 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         try {
             parser.endOfInput();
-        } catch (HttpProtocolException fault) {
-            // Cut short: told below, as any loss.
+        } catch (HttpProtocolException e) {
+            // A truncated response: reported below like any closed connection.
             reusable = false;
         }
-        lose(Failure.CLOSED, "the peer closed the connection");
+        fail(Failure.CLOSED, "the peer closed the connection");
         onClosed.accept(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        lose(Failure.RESET, String.valueOf(cause.getMessage()));
+        fail(Failure.RESET, String.valueOf(cause.getMessage()));
         ctx.close();
     }
 }
--- a/wire/src/main/java/spanrill/wire/http/HttpParser.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpParser.java
@@ -4,48 +4,51 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Parses HTTP/1.1 messages (RFC 9112) from bytes that come in any pieces. What two parsers could read in two
- * ways is refused, not repaired: bare CR or LF, folded lines, space before a colon, Content-Length given
- * twice or beside Transfer-Encoding, any coding but one plain {@code chunked} (sections 2.2, 5.1, 5.2, 6.1,
- * 6.3 and 11.2). Memory is bounded by {@link HttpLimits}; a body is handed on as it comes and never kept.
+ * Parses HTTP/1.1 messages (RFC 9112) from a stream that arrives in fragments of any size. Ambiguous input, which allows
+ * request smuggling, is rejected and never repaired: a bare CR or LF, folded lines, space before a colon, a repeated
+ * Content-Length or one next to Transfer-Encoding, and any coding but a single {@code chunked} (sections 2.2, 5.1, 5.2,
+ * 6.1, 6.3 and 11.2). {@link HttpLimits} bounds the memory; body data is passed on as it arrives and not buffered.
  */
 public final class HttpParser {
-    /** What is parsed. */
+    /** Kind of message that a parser expects. */
     public enum Role {
         REQUEST,
         RESPONSE
     }
 
-    /** Takes what was parsed. */
+    /** Receives the parsed parts of messages. */
     public interface Sink {
-        /** A request's head. */
+        /** Handles the head of a request. */
         default void onRequestHead(RequestHead head) throws HttpProtocolException {}
 
-        /** A final response's head; interim ones (1xx) are passed over. */
+        /** Handles the head of a final response; interim responses (1xx) are skipped. */
         default void onResponseHead(ResponseHead head) throws HttpProtocolException {}
 
-        /** Part of a body; the buffer is lent for the call: retain what is kept. */
+        /** Handles part of a body; the buffer is valid during the call only unless it is retained. */
         void onBody(ByteBuf part) throws HttpProtocolException;
 
-        /** The message is complete. */
+        /** Handles the end of a message. */
         void onEnd() throws HttpProtocolException;
     }
 
     private enum State {
         START,
         HEADER,
-        FIXED,
+        FIXED_BODY,
         CHUNK_SIZE,
-        CHUNK,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILER,
         UNTIL_CLOSE,
-        BROKEN
+        FAILED
     }
 
-    private static final int MOST_INTERIM = 8;
-    /** RFC 9110 section 9.1 has none above 7; the registry none above 17 (UPDATEREDIRECTREF). */
-    private static final int MOST_METHOD = 20;
+    private static final int MAX_INTERIM_RESPONSES = 8;
+    /**
+     * Maximum length of a method in bytes. The methods of RFC 9110 section 9.1 have up to 7 characters, those of the
+     * IANA registry up to 17 (UPDATEREDIRECTREF).
+     */
+    private static final int MAX_METHOD_BYTES = 20;
 
     private static final byte TLS_HANDSHAKE = 0x16;
 
@@ -54,182 +57,182 @@
     private final Sink sink;
     private final byte[] line;
     private int lineLength;
-    private boolean sawCr;
+    private boolean afterCr;
     private boolean inMethod;
     private State state = State.START;
     private int headBytes;
     private int emptyLines;
-    private int interim;
-    private int trailers;
-    private long left;
+    private int interimResponses;
+    private int trailerFields;
+    private long remaining;
     private long bodyBytes;
-    private boolean answersHead;
-    private String first;
+    private boolean responseToHead;
+    private String startLine;
     private Headers headers;
 
-    /** A parser of one connection's messages in one direction. */
+    /** Creates a parser for the messages of one connection in one direction. */
     public HttpParser(Role role, HttpLimits limits, Sink sink) {
         this.role = role;
         this.limits = limits;
         this.sink = sink;
-        line = new byte[limits.lineBytes()];
+        line = new byte[limits.maxLineBytes()];
     }
 
-    /** Tells that the next response answers a HEAD request, so no body follows it (section 6.3). */
-    public void expectResponseToHead(boolean head) {
-        answersHead = head;
+    /** Sets whether the next response answers a HEAD request, in which case it has no body (section 6.3). */
+    public void expectResponseToHead(boolean expected) {
+        responseToHead = expected;
     }
 
-    /** True between messages, when no byte of the next has come. */
+    /** Returns whether the parser is between messages and no byte of the next one has arrived. */
     public boolean isIdle() {
-        return state == State.START && lineLength == 0 && !sawCr && emptyLines == 0;
+        return state == State.START && lineLength == 0 && !afterCr && emptyLines == 0;
     }
 
     /**
-     * Takes bytes up to the end of a message at most; call again for what is left.
+     * Parses bytes up to the end of one message; the caller calls again for the remaining bytes.
      *
-     * @return true when a message ended
-     * @throws HttpProtocolException for what is refused; the parser takes nothing any more after it
+     * @return true when a message is complete
+     * @throws HttpProtocolException when the input is rejected; the parser accepts no input afterwards
      */
     public boolean feed(ByteBuf in) throws HttpProtocolException {
         try {
             while (in.isReadable()) {
                 switch (state) {
-                    case FIXED, CHUNK -> {
-                        if (data(in)) {
+                    case FIXED_BODY, CHUNK_DATA -> {
+                        if (readBody(in)) {
                             return true;
                         }
                     }
-                    case UNTIL_CLOSE -> body(in, in.readableBytes());
-                    case BROKEN -> throw new HttpProtocolException(400, "bytes after a broken message");
+                    case UNTIL_CLOSE -> passBody(in, in.readableBytes());
+                    case FAILED -> throw new HttpProtocolException(400, "bytes after a broken message");
                     default -> {
-                        if (readLine(in) && takeLine()) {
+                        if (readLine(in) && processLine()) {
                             return true;
                         }
                     }
                 }
             }
             return false;
-        } catch (HttpProtocolException fault) {
-            state = State.BROKEN;
-            throw fault;
+        } catch (HttpProtocolException e) {
+            state = State.FAILED;
+            throw e;
         }
     }
 
     /**
-     * The peer closed its side.
+     * Handles the end of the stream.
      *
-     * @return true when that ended a message in order (a body without length, section 6.3)
-     * @throws HttpProtocolException when it cut a message short
+     * @return true when this completes a message whose body has no declared length (section 6.3)
+     * @throws HttpProtocolException when a message is truncated
      */
     public boolean endOfInput() throws HttpProtocolException {
         if (state == State.UNTIL_CLOSE) {
-            state = State.BROKEN;
+            state = State.FAILED;
             sink.onEnd();
             return true;
         }
-        if (state != State.BROKEN && !isIdle()) {
-            state = State.BROKEN;
+        if (state != State.FAILED && !isIdle()) {
+            state = State.FAILED;
             throw new HttpProtocolException(400, "the connection ended within a message");
         }
         return false;
     }
 
-    private boolean data(ByteBuf in) throws HttpProtocolException {
-        int take = (int) Math.min(left, in.readableBytes());
-        left -= take;
-        body(in, take);
-        if (left > 0) {
+    private boolean readBody(ByteBuf in) throws HttpProtocolException {
+        int count = (int) Math.min(remaining, in.readableBytes());
+        remaining -= count;
+        passBody(in, count);
+        if (remaining > 0) {
             return false;
         }
-        if (state == State.CHUNK) {
+        if (state == State.CHUNK_DATA) {
             state = State.CHUNK_END;
             return false;
         }
-        return finish();
+        return endMessage();
     }
 
-    private void body(ByteBuf in, int bytes) throws HttpProtocolException {
+    private void passBody(ByteBuf in, int bytes) throws HttpProtocolException {
         bodyBytes += bytes;
-        if (bodyBytes > limits.bodyBytes()) {
-            throw new HttpProtocolException(413, "body is longer than " + limits.bodyBytes() + " bytes");
+        if (bodyBytes > limits.maxBodyBytes()) {
+            throw new HttpProtocolException(413, "body is longer than " + limits.maxBodyBytes() + " bytes");
         }
         if (bytes > 0) {
             sink.onBody(in.readSlice(bytes));
         }
     }
 
-    /** Reads up to the end of a line; true when it is complete, without its CRLF. */
+    /** Buffers bytes up to the end of a line; returns true when the line is complete, with its CRLF removed. */
     private boolean readLine(ByteBuf in) throws HttpProtocolException {
         int from = in.readerIndex();
         int end = in.indexOf(from, in.writerIndex(), (byte) '\n');
         int stop = end < 0 ? in.writerIndex() : end;
         int bytes = stop - from;
-        // The CR of a line's end may be the last byte kept, so it doesn't count towards the limit.
+        // The limit includes the CR that ends the line, but not the LF.
         if (lineLength + bytes > line.length) {
             throw new HttpProtocolException(
                     state == State.START && role == Role.REQUEST ? 414 : 431,
-                    "a line is longer than " + limits.lineBytes() + " bytes");
+                    "a line is longer than " + limits.maxLineBytes() + " bytes");
         }
         in.readBytes(line, lineLength, bytes);
-        boolean begins = state == State.START && role == Role.REQUEST;
+        boolean inStartLine = state == State.START && role == Role.REQUEST;
         for (int i = lineLength; i < lineLength + bytes; i++) {
-            if (sawCr) {
+            if (afterCr) {
                 throw new HttpProtocolException(400, "a bare CR");
             }
-            if (begins && i <= MOST_METHOD) {
+            if (inStartLine && i <= MAX_METHOD_BYTES) {
                 inMethod = (i == 0 || inMethod) && line[i] != ' ';
                 if (inMethod) {
                     checkMethodByte(i);
                 }
             }
-            sawCr = line[i] == '\r';
+            afterCr = line[i] == '\r';
         }
         lineLength += bytes;
         if (end < 0) {
             return false;
         }
         in.skipBytes(1);
-        if (!sawCr) {
+        if (!afterCr) {
             throw new HttpProtocolException(400, "a bare LF");
         }
-        sawCr = false;
+        afterCr = false;
         lineLength--;
         return true;
     }
 
     /**
-     * Refuses bytes that can't begin a request as soon as they come: whoever speaks another protocol here
-     * must not wait in silence for a line end that it never sends.
+     * Rejects bytes that cannot begin a request as soon as they arrive. A peer that uses another protocol would
+     * otherwise wait for a response until its timeout, because it never sends the end of a line.
      */
-    private void checkMethodByte(int at) throws HttpProtocolException {
-        if (at == 0 && line[0] == TLS_HANDSHAKE) {
+    private void checkMethodByte(int index) throws HttpProtocolException {
+        if (index == 0 && line[0] == TLS_HANDSHAKE) {
             throw HttpProtocolException.ofTlsHello();
         }
-        if (line[at] != '\r' && !isToken((char) (line[at] & 0xff))) {
+        if (line[index] != '\r' && !isToken((char) (line[index] & 0xff))) {
             throw new HttpProtocolException(400, "the method is no token");
         }
-        if (line[at] != '\r' && at == MOST_METHOD) {
+        if (line[index] != '\r' && index == MAX_METHOD_BYTES) {
             throw new HttpProtocolException(501, "the method is not known");
         }
     }
 
-    private boolean takeLine() throws HttpProtocolException {
+    private boolean processLine() throws HttpProtocolException {
         int length = lineLength;
         lineLength = 0;
         headBytes += length + 2;
-        if (headBytes > limits.headBytes() && state != State.CHUNK_SIZE && state != State.CHUNK_END) {
-            throw new HttpProtocolException(431, "a head is longer than " + limits.headBytes() + " bytes");
+        if (headBytes > limits.maxHeadBytes() && state != State.CHUNK_SIZE && state != State.CHUNK_END) {
+            throw new HttpProtocolException(431, "a head is longer than " + limits.maxHeadBytes() + " bytes");
         }
         switch (state) {
-            case START -> start(length);
+            case START -> processStartLine(length);
             case HEADER -> {
                 if (length == 0) {
-                    return headComplete();
+                    return processHead();
                 }
-                field(length, headers);
+                processField(length, headers);
             }
-            case CHUNK_SIZE -> chunkSize(length);
+            case CHUNK_SIZE -> processChunkSize(length);
             case CHUNK_END -> {
                 if (length != 0) {
                     throw new HttpProtocolException(400, "a chunk is longer than its size says");
@@ -238,21 +241,21 @@
             }
             case TRAILER -> {
                 if (length == 0) {
-                    return finish();
+                    return endMessage();
                 }
-                if (++trailers > limits.headers()) {
-                    throw new HttpProtocolException(431, "more than " + limits.headers() + " trailer fields");
+                if (++trailerFields > limits.maxHeaders()) {
+                    throw new HttpProtocolException(431, "more than " + limits.maxHeaders() + " trailer fields");
                 }
-                field(length, new Headers());
+                processField(length, new Headers());
             }
             default -> throw new IllegalStateException("no line is due in " + state);
         }
         return false;
     }
 
-    private void start(int length) throws HttpProtocolException {
+    private void processStartLine(int length) throws HttpProtocolException {
         if (length == 0) {
-            // Section 2.2: at least one empty line before a request line is passed over.
+            // Section 2.2 asks servers to ignore at least one empty line before a request line; more are rejected.
             if (role == Role.RESPONSE || ++emptyLines > 1) {
                 throw new HttpProtocolException(400, "empty lines before a message");
             }
@@ -263,7 +266,7 @@
                 throw new HttpProtocolException(400, "a byte that is no visible ASCII in the start line");
             }
         }
-        first = new String(line, 0, length, StandardCharsets.US_ASCII);
+        startLine = new String(line, 0, length, StandardCharsets.US_ASCII);
         if (role == Role.REQUEST) {
             checkRequestLine();
         } else {
@@ -274,29 +277,31 @@
     }
 
     private void checkRequestLine() throws HttpProtocolException {
-        int a = first.indexOf(' ');
-        int b = first.lastIndexOf(' ');
-        if (a <= 0 || b <= a + 1 || first.indexOf(' ', a + 1) != b) {
+        int firstSpace = startLine.indexOf(' ');
+        int lastSpace = startLine.lastIndexOf(' ');
+        if (firstSpace <= 0 || lastSpace <= firstSpace + 1 || startLine.indexOf(' ', firstSpace + 1) != lastSpace) {
             throw new HttpProtocolException(400, "the request line is not method, target and version");
         }
-        checkVersion(first.substring(b + 1));
-        String target = first.substring(a + 1, b);
+        checkVersion(startLine.substring(lastSpace + 1));
+        String target = startLine.substring(firstSpace + 1, lastSpace);
         if (!target.startsWith("/") && !target.equals("*") && !target.startsWith("http://")) {
             throw new HttpProtocolException(400, "the target is neither a path nor an http URI");
         }
     }
 
     private void checkStatusLine() throws HttpProtocolException {
-        if (first.length() < 12 || first.charAt(8) != ' ' || (first.length() > 12 && first.charAt(12) != ' ')) {
+        if (startLine.length() < 12
+                || startLine.charAt(8) != ' '
+                || (startLine.length() > 12 && startLine.charAt(12) != ' ')) {
             throw new HttpProtocolException(400, "the status line is not version, status and reason");
         }
-        checkVersion(first.substring(0, 8));
+        checkVersion(startLine.substring(0, 8));
         for (int i = 9; i < 12; i++) {
-            if (first.charAt(i) < '0' || first.charAt(i) > '9') {
+            if (startLine.charAt(i) < '0' || startLine.charAt(i) > '9') {
                 throw new HttpProtocolException(400, "the status is no number");
             }
         }
-        if (first.charAt(9) < '1' || first.charAt(9) > '5') {
+        if (startLine.charAt(9) < '1' || startLine.charAt(9) > '5') {
             throw new HttpProtocolException(400, "the status is of no known class");
         }
     }
@@ -307,7 +312,7 @@
         }
     }
 
-    private void field(int length, Headers into) throws HttpProtocolException {
+    private void processField(int length, Headers target) throws HttpProtocolException {
         if (line[0] == ' ' || line[0] == '\t') {
             throw new HttpProtocolException(400, "a folded header line");
         }
@@ -338,37 +343,41 @@
                 throw new HttpProtocolException(400, "a control byte in a header value");
             }
         }
-        if (into.size() >= limits.headers()) {
-            throw new HttpProtocolException(431, "more than " + limits.headers() + " header fields");
+        if (target.size() >= limits.maxHeaders()) {
+            throw new HttpProtocolException(431, "more than " + limits.maxHeaders() + " header fields");
         }
-        into.add(
+        target.add(
                 new String(line, 0, colon, StandardCharsets.US_ASCII),
                 new String(line, from, to - from, StandardCharsets.ISO_8859_1));
     }
 
-    private boolean headComplete() throws HttpProtocolException {
+    private boolean processHead() throws HttpProtocolException {
         long length = checkFraming();
         boolean chunked = headers.count("transfer-encoding") > 0;
         bodyBytes = 0;
-        trailers = 0;
+        trailerFields = 0;
         if (role == Role.REQUEST) {
-            int a = first.indexOf(' ');
-            int b = first.lastIndexOf(' ');
-            int minor = first.charAt(first.length() - 1) - '0';
-            int hosts = headers.count("host");
-            if (hosts > 1 || (hosts == 0 && minor == 1)) {
+            int firstSpace = startLine.indexOf(' ');
+            int lastSpace = startLine.lastIndexOf(' ');
+            int minor = startLine.charAt(startLine.length() - 1) - '0';
+            int hostFields = headers.count("host");
+            if (hostFields > 1 || (hostFields == 0 && minor == 1)) {
                 throw new HttpProtocolException(400, "Host must be given once");
             }
-            sink.onRequestHead(new RequestHead(first.substring(0, a), first.substring(a + 1, b), minor, headers));
+            sink.onRequestHead(new RequestHead(
+                    startLine.substring(0, firstSpace),
+                    startLine.substring(firstSpace + 1, lastSpace),
+                    minor,
+                    headers));
             if (chunked) {
                 state = State.CHUNK_SIZE;
                 return false;
             }
-            return fixed(Math.max(0, length));
+            return startFixedBody(Math.max(0, length));
         }
-        int status = Integer.parseInt(first.substring(9, 12));
+        int status = Integer.parseInt(startLine.substring(9, 12));
         if (status < 200) {
-            if (status == 101 || ++interim > MOST_INTERIM) {
+            if (status == 101 || ++interimResponses > MAX_INTERIM_RESPONSES) {
                 throw new HttpProtocolException(
                         400, status == 101 ? "an upgrade that was not asked for" : "too many interim answers");
             }
@@ -376,9 +385,9 @@
             return false;
         }
         sink.onResponseHead(new ResponseHead(
-                status, first.length() > 13 ? first.substring(13) : "", first.charAt(7) - '0', headers));
-        if (answersHead || status == 204 || status == 304) {
-            return finish();
+                status, startLine.length() > 13 ? startLine.substring(13) : "", startLine.charAt(7) - '0', headers));
+        if (responseToHead || status == 204 || status == 304) {
+            return endMessage();
         }
         if (chunked) {
             state = State.CHUNK_SIZE;
@@ -388,41 +397,41 @@
             state = State.UNTIL_CLOSE;
             return false;
         }
-        return fixed(length);
+        return startFixedBody(length);
     }
 
-    private boolean fixed(long length) throws HttpProtocolException {
-        if (length > limits.bodyBytes()) {
-            throw new HttpProtocolException(413, "body is longer than " + limits.bodyBytes() + " bytes");
+    private boolean startFixedBody(long length) throws HttpProtocolException {
+        if (length > limits.maxBodyBytes()) {
+            throw new HttpProtocolException(413, "body is longer than " + limits.maxBodyBytes() + " bytes");
         }
         if (length == 0) {
-            return finish();
+            return endMessage();
         }
-        left = length;
-        state = State.FIXED;
+        remaining = length;
+        state = State.FIXED_BODY;
         return false;
     }
 
-    /** Refuses every head whose body two parsers could measure in two ways; gives Content-Length or -1. */
+    /** Rejects a head whose body length is ambiguous; returns the Content-Length, or -1 when it is absent. */
     private long checkFraming() throws HttpProtocolException {
-        int lengths = headers.count("content-length");
-        int codings = headers.count("transfer-encoding");
-        if (lengths > 1) {
+        int contentLengths = headers.count("content-length");
+        int transferEncodings = headers.count("transfer-encoding");
+        if (contentLengths > 1) {
             throw new HttpProtocolException(400, "Content-Length is given twice");
         }
-        if (codings > 0) {
-            if (lengths > 0) {
+        if (transferEncodings > 0) {
+            if (contentLengths > 0) {
                 throw new HttpProtocolException(400, "Content-Length beside Transfer-Encoding");
             }
-            if (codings > 1 || !headers.get("transfer-encoding").equalsIgnoreCase("chunked")) {
+            if (transferEncodings > 1 || !headers.get("transfer-encoding").equalsIgnoreCase("chunked")) {
                 throw new HttpProtocolException(501, "a transfer coding other than chunked");
             }
-            if (first.contains("HTTP/1.0")) {
+            if (startLine.contains("HTTP/1.0")) {
                 throw new HttpProtocolException(400, "Transfer-Encoding in HTTP/1.0");
             }
             return -1;
         }
-        if (lengths == 0) {
+        if (contentLengths == 0) {
             return -1;
         }
         String value = headers.get("content-length");
@@ -432,7 +441,7 @@
         return Long.parseLong(value);
     }
 
-    private void chunkSize(int length) throws HttpProtocolException {
+    private void processChunkSize(int length) throws HttpProtocolException {
         long size = 0;
         int digits = 0;
         while (digits < length && Character.digit(line[digits], 16) >= 0) {
@@ -449,12 +458,12 @@
                 throw new HttpProtocolException(400, "a control byte in a chunk extension");
             }
         }
-        left = size;
+        remaining = size;
         headBytes = 0;
-        state = size == 0 ? State.TRAILER : State.CHUNK;
+        state = size == 0 ? State.TRAILER : State.CHUNK_DATA;
     }
 
-    private boolean finish() throws HttpProtocolException {
+    private boolean endMessage() throws HttpProtocolException {
         reset();
         sink.onEnd();
         return true;
@@ -465,10 +474,10 @@
         headBytes = 0;
         emptyLines = 0;
         lineLength = 0;
-        first = null;
+        startLine = null;
         headers = null;
         if (role == Role.REQUEST) {
-            interim = 0;
+            interimResponses = 0;
         }
     }
 
--- a/wire/src/main/java/spanrill/wire/http/HttpProtocolException.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpProtocolException.java
@@ -1,12 +1,12 @@
 package spanrill.wire.http;
 
-/** Bytes that are no HTTP/1.1 message that this program takes; the connection can't go on. */
+/** A message that is not valid HTTP/1.1 or exceeds a limit; the connection cannot be used afterwards. */
 public final class HttpProtocolException extends Exception {
     private static final long serialVersionUID = 1;
     private final int status;
     private final boolean tlsHello;
 
-    /** A fault with the status that a server answers it with, and a plain reason. */
+    /** Creates an exception with the status that a server responds with, and a reason in plain text. */
     public HttpProtocolException(int status, String reason) {
         this(status, reason, false);
     }
@@ -17,17 +17,17 @@
         this.tlsHello = tlsHello;
     }
 
-    /** A TLS handshake record (RFC 8446 section 5.1) where an HTTP request was due. */
+    /** Creates an exception for a TLS handshake record (RFC 8446 section 5.1) in place of an HTTP request. */
     static HttpProtocolException ofTlsHello() {
         return new HttpProtocolException(400, "a TLS hello on a port that speaks plain HTTP", true);
     }
 
-    /** True when the peer began with TLS: somebody took this port for another one. */
+    /** Returns whether the peer started a TLS handshake, probably because it uses the wrong port. */
     public boolean isTlsHello() {
         return tlsHello;
     }
 
-    /** Status for the peer (RFC 9110 section 15). */
+    /** Returns the status to send to the peer (RFC 9110 section 15). */
     public int status() {
         return status;
     }
--- a/wire/src/main/java/spanrill/wire/http/HttpServer.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpServer.java
@@ -12,28 +12,28 @@
 /** Listens for HTTP/1.1 connections. */
 public final class HttpServer {
     private static final int BACKLOG = 4096;
-    private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(64 * 1024, 256 * 1024);
+    private static final WriteBufferWaterMark WATER_MARKS = new WriteBufferWaterMark(64 * 1024, 256 * 1024);
 
     private HttpServer() {}
 
     /**
-     * Listens; the connections are served on the group's loops.
+     * Listens on an address and serves the connections on the event loops of the group.
      *
-     * @param admit told of each new connection; false closes it
-     * @param route takes each request
-     * @param refused told of bytes that are no request; their sender is answered already
+     * @param admit decides on each new connection; false closes it
+     * @param route handles each request
+     * @param refused is notified of each malformed request; the response to the peer has already been sent
      */
     public static ChannelFuture bind(
             EventLoopGroup group,
             InetSocketAddress address,
             HttpLimits limits,
-            HttpServerHandler.ConnectionLimits times,
+            HttpServerHandler.ConnectionLimits connectionLimits,
             Predicate<Channel> admit,
             Consumer<Exchange> route,
             Consumer<HttpProtocolException> refused) {
-        return TcpListener.bind(group, address, BACKLOG, MARKS, channel -> {
+        return TcpListener.bind(group, address, BACKLOG, WATER_MARKS, channel -> {
             if (admit.test(channel)) {
-                channel.pipeline().addLast(new HttpServerHandler(limits, times, route, refused));
+                channel.pipeline().addLast(new HttpServerHandler(limits, connectionLimits, route, refused));
             } else {
                 channel.close();
             }
--- a/wire/src/main/java/spanrill/wire/http/HttpServerHandler.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpServerHandler.java
@@ -14,93 +14,94 @@
 import java.util.function.Consumer;
 
 /**
- * Server end of one connection. Requests are handed on one at a time and answered in order (RFC 9112 section
- * 9.3.2); those pipelined behind wait unparsed, up to a bound past which the connection is not read. A peer
- * that takes longer than its time over a head or body is answered 408 and let go.
+ * Server side of one connection. Requests are handled one at a time and answered in order (RFC 9112 section 9.3.2).
+ * Pipelined requests wait unparsed; the connection is not read while they exceed a limit. A request that is not
+ * complete within its timeout is answered with 408 and the connection is closed.
  */
 public final class HttpServerHandler extends ChannelInboundHandlerAdapter implements HttpParser.Sink {
     /**
-     * Times of a connection.
+     * Timeouts and buffer limit of a connection.
      *
-     * @param messageMs a request must be complete so long after its first byte, or after the connection began
-     * @param idleMs a connection may rest so long between requests
-     * @param waitingBytes pipelined bytes kept while an answer is under way
+     * @param requestTimeoutMs a request must be complete within this time after its first byte, and the first request
+     *     must begin within this time after the connection is accepted, in ms
+     * @param idleTimeoutMs maximum time between two requests, in ms
+     * @param maxPipelinedBytes the connection is not read while this many bytes wait for the current response
      */
-    public record ConnectionLimits(long messageMs, long idleMs, int waitingBytes) {}
+    public record ConnectionLimits(long requestTimeoutMs, long idleTimeoutMs, int maxPipelinedBytes) {}
 
     private final Consumer<Exchange> route;
     private final Consumer<HttpProtocolException> refused;
-    private final ConnectionLimits times;
+    private final ConnectionLimits connectionLimits;
     private final HttpParser parser;
-    private ByteBuf waiting = Unpooled.EMPTY_BUFFER;
+    private ByteBuf unparsed = Unpooled.EMPTY_BUFFER;
     private ByteArrayOutputStream body;
     private RequestHead head;
     private Exchange current;
     private Channel channel;
-    private ScheduledFuture<?> timeout;
-    private boolean midMessage;
-    private boolean closeAfter;
-    private boolean working;
+    private ScheduledFuture<?> timer;
+    private boolean requestStarted;
+    private boolean closeAfterResponse;
+    private boolean parsing;
     private boolean inputClosed;
 
-    /** Hands each request to {@code route}; {@code refused} is told of bytes that are none. */
+    /** Creates a handler that passes each request to {@code route} and each malformed one to {@code refused}. */
     public HttpServerHandler(
             HttpLimits limits,
-            ConnectionLimits times,
+            ConnectionLimits connectionLimits,
             Consumer<Exchange> route,
             Consumer<HttpProtocolException> refused) {
         this.route = route;
         this.refused = refused;
-        this.times = times;
+        this.connectionLimits = connectionLimits;
         parser = new HttpParser(HttpParser.Role.REQUEST, limits, this);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        arm(times.messageMs());
+        startTimer(connectionLimits.requestTimeoutMs());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
-        if (closeAfter) {
+        if (closeAfterResponse) {
             in.release();
             return;
         }
-        waiting = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), waiting, in);
-        work();
+        unparsed = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), unparsed, in);
+        parseRequests();
     }
 
-    private void work() {
-        if (working) {
+    private void parseRequests() {
+        if (parsing) {
             return;
         }
-        working = true;
+        parsing = true;
         try {
-            while (current == null && waiting.isReadable() && !closeAfter) {
-                if (!midMessage) {
-                    midMessage = true;
-                    arm(times.messageMs());
+            while (current == null && unparsed.isReadable() && !closeAfterResponse) {
+                if (!requestStarted) {
+                    requestStarted = true;
+                    startTimer(connectionLimits.requestTimeoutMs());
                 }
-                parser.feed(waiting);
+                parser.feed(unparsed);
             }
-        } catch (HttpProtocolException fault) {
-            refuse(fault.status(), fault.getMessage());
-            refused.accept(fault);
+        } catch (HttpProtocolException e) {
+            respondAndClose(e.status(), e.getMessage());
+            refused.accept(e);
         } finally {
-            working = false;
+            parsing = false;
         }
-        if (!waiting.isReadable()) {
-            waiting.release();
-            waiting = Unpooled.EMPTY_BUFFER;
+        if (!unparsed.isReadable()) {
+            unparsed.release();
+            unparsed = Unpooled.EMPTY_BUFFER;
         }
-        channel.config().setAutoRead(waiting.readableBytes() < times.waitingBytes());
+        channel.config().setAutoRead(unparsed.readableBytes() < connectionLimits.maxPipelinedBytes());
     }
 
-    private void refuse(int status, String reason) {
-        closeAfter = true;
-        disarm();
+    private void respondAndClose(int status, String reason) {
+        closeAfterResponse = true;
+        cancelTimer();
         byte[] text = (reason + "\n").getBytes(StandardCharsets.UTF_8);
         ByteBuf out = channel.alloc().buffer(256);
         HttpWriter.writeResponseHead(
@@ -127,7 +128,7 @@
             if (!expect.equalsIgnoreCase("100-continue")) {
                 throw new HttpProtocolException(417, "an expectation other than 100-continue");
             }
-            if (request.minor() == 1) {
+            if (request.minorVersion() == 1) {
                 ByteBuf out = channel.alloc().buffer(32);
                 out.writeCharSequence("HTTP/1.1 100 Continue\r\n\r\n", StandardCharsets.US_ASCII);
                 channel.writeAndFlush(out);
@@ -147,59 +148,59 @@
 
     @Override
     public void onEnd() {
-        disarm();
-        midMessage = false;
+        cancelTimer();
+        requestStarted = false;
         current = new Exchange(channel, this, head, body == null ? new byte[0] : body.toByteArray());
         body = null;
         route.accept(current);
     }
 
-    void answered(Exchange exchange) {
+    void responseEnded(Exchange exchange) {
         if (exchange != current) {
             return;
         }
         current = null;
-        if (closing(exchange.head())) {
-            closeAfter = true;
+        if (closesAfter(exchange.head())) {
+            closeAfterResponse = true;
             Exchange.closeWhenFlushed(channel);
             return;
         }
-        if (inputClosed && !waiting.isReadable()) {
+        if (inputClosed && !unparsed.isReadable()) {
             Exchange.closeWhenFlushed(channel);
             return;
         }
-        arm(times.idleMs());
-        work();
+        startTimer(connectionLimits.idleTimeoutMs());
+        parseRequests();
     }
 
-    void closeAfter() {
-        closeAfter = true;
+    void closeAfterResponse() {
+        closeAfterResponse = true;
     }
 
-    boolean closing(RequestHead request) {
-        return closeAfter || !request.keepAlive();
+    boolean closesAfter(RequestHead request) {
+        return closeAfterResponse || !request.keepAlive();
     }
 
-    private void arm(long ms) {
-        disarm();
-        timeout = channel.eventLoop().schedule(this::late, ms, TimeUnit.MILLISECONDS);
+    private void startTimer(long ms) {
+        cancelTimer();
+        timer = channel.eventLoop().schedule(this::onTimeout, ms, TimeUnit.MILLISECONDS);
     }
 
-    private void disarm() {
-        if (timeout != null) {
-            timeout.cancel(false);
-            timeout = null;
+    private void cancelTimer() {
+        if (timer != null) {
+            timer.cancel(false);
+            timer = null;
         }
     }
 
-    private void late() {
-        if (current != null || closeAfter) {
+    private void onTimeout() {
+        if (current != null || closeAfterResponse) {
             return;
         }
-        if (midMessage) {
-            refuse(408, "the request took too long to come");
+        if (requestStarted) {
+            respondAndClose(408, "the request took too long to come");
         } else {
-            closeAfter = true;
+            closeAfterResponse = true;
             channel.close();
         }
     }
@@ -213,21 +214,21 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        disarm();
+        cancelTimer();
         inputClosed = true;
-        waiting.release();
-        waiting = Unpooled.EMPTY_BUFFER;
-        Exchange lost = current;
+        unparsed.release();
+        unparsed = Unpooled.EMPTY_BUFFER;
+        Exchange interrupted = current;
         current = null;
-        if (lost != null) {
-            lost.lost();
+        if (interrupted != null) {
+            interrupted.connectionLost();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            // A fault of this program must not take the front down; the peer sees its connection end.
+            // A programming error is reported to the thread's handler and ends only this connection, not the process.
             Thread.currentThread().getUncaughtExceptionHandler().uncaughtException(Thread.currentThread(), cause);
         }
         ctx.close();
--- a/wire/src/main/java/spanrill/wire/http/HttpWriter.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpWriter.java
@@ -5,44 +5,44 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes heads and chunks. A field value that holds a line break is a fault of the program: it is
- * refused.
+ * Encodes heads and chunks. A line break or NUL inside a field is a programming error and is rejected, because it would
+ * allow response splitting.
  */
 public final class HttpWriter {
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private HttpWriter() {}
 
-    /** Writes a request's head. */
+    /** Writes the head of a request. */
     public static void writeRequestHead(ByteBuf out, String method, String target, Headers headers) {
-        text(out, method);
+        writeText(out, method);
         out.writeByte(' ');
-        text(out, target);
-        text(out, " HTTP/1.1\r\n");
-        fields(out, headers);
+        writeText(out, target);
+        writeText(out, " HTTP/1.1\r\n");
+        writeFields(out, headers);
     }
 
-    /** Writes a response's head. */
+    /** Writes the head of a response. */
     public static void writeResponseHead(ByteBuf out, int status, Headers headers) {
-        text(out, "HTTP/1.1 " + status + " " + reasonPhrase(status) + "\r\n");
-        fields(out, headers);
+        writeText(out, "HTTP/1.1 " + status + " " + reasonPhrase(status) + "\r\n");
+        writeFields(out, headers);
     }
 
-    private static void fields(ByteBuf out, Headers headers) {
+    private static void writeFields(ByteBuf out, Headers headers) {
         for (int i = 0; i < headers.size(); i++) {
-            text(out, headers.name(i));
-            text(out, ": ");
-            text(out, headers.value(i));
-            text(out, "\r\n");
+            writeText(out, headers.name(i));
+            writeText(out, ": ");
+            writeText(out, headers.value(i));
+            writeText(out, "\r\n");
         }
-        text(out, "\r\n");
+        writeText(out, "\r\n");
     }
 
-    private static void text(ByteBuf out, String text) {
+    private static void writeText(ByteBuf out, String text) {
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if ((c == '\r' || c == '\n') && !text.endsWith("\r\n") || c == 0) {
-                throw new IllegalArgumentException("a line break within a head");
+            char character = text.charAt(i);
+            if ((character == '\r' || character == '\n') && !text.endsWith("\r\n") || character == 0) {
+                throw new IllegalArgumentException("line break or NUL inside a header");
             }
         }
         ByteBufUtil.writeAscii(out, text);
@@ -53,17 +53,17 @@
         ByteBufUtil.writeAscii(out, Integer.toHexString(bytes) + "\r\n");
     }
 
-    /** Writes the end of a chunk. */
+    /** Writes the line break after the data of a chunk. */
     public static void writeChunkEnd(ByteBuf out) {
         out.writeByte('\r').writeByte('\n');
     }
 
-    /** Writes the last chunk. */
+    /** Writes the last chunk and an empty trailer section. */
     public static void writeLastChunk(ByteBuf out) {
         out.writeBytes(LAST_CHUNK);
     }
 
-    /** The reason phrase of a status. */
+    /** Returns the reason phrase of a status code. */
     public static String reasonPhrase(int status) {
         return switch (status) {
             case 100 -> "Continue";
--- a/wire/src/main/java/spanrill/wire/http/RequestHead.java
+++ b/wire/src/main/java/spanrill/wire/http/RequestHead.java
@@ -6,13 +6,13 @@
 /**
  * Head of a request.
  *
- * @param method as sent; methods are case-sensitive
- * @param target origin-form or absolute-form (RFC 9112 section 3.2)
- * @param minor minor version, 0 or 1
- * @param headers its fields
+ * @param method method as received; methods are case-sensitive
+ * @param target request target in origin-form, absolute-form or asterisk-form (RFC 9112 section 3.2)
+ * @param minorVersion minor version of HTTP, 0 or 1
+ * @param headers header fields
  */
-public record RequestHead(String method, String target, int minor, Headers headers) {
-    /** The path of the target, without its query. */
+public record RequestHead(String method, String target, int minorVersion, Headers headers) {
+    /** Returns the path of the target, without the query. */
     public String path() {
         String origin = target;
         if (!origin.startsWith("/")) {
@@ -24,7 +24,7 @@
         return query < 0 ? origin : origin.substring(0, query);
     }
 
-    /** A parameter of the query, decoded, or null; one that is ill-formed counts as absent. */
+    /** Returns a decoded query parameter, or null when it is absent or malformed. */
     public String queryParameter(String name) {
         int start = target.indexOf('?');
         if (start < 0) {
@@ -42,9 +42,9 @@
         return null;
     }
 
-    /** True when the connection goes on after the answer (RFC 9112 section 9.3). */
+    /** Returns whether the connection persists after the response (RFC 9112 section 9.3). */
     public boolean keepAlive() {
-        return minor == 1
+        return minorVersion == 1
                 ? !headers.containsToken("connection", "close")
                 : headers.containsToken("connection", "keep-alive");
     }
--- a/wire/src/main/java/spanrill/wire/package-info.java
+++ b/wire/src/main/java/spanrill/wire/package-info.java
@@ -1,2 +1,2 @@
-/** What all protocols here share on the network. */
+/** Network code that the protocols of this package share. */
 package spanrill.wire;
--- a/wire/src/main/java/spanrill/wire/platform/InvalidFieldException.java
+++ b/wire/src/main/java/spanrill/wire/platform/InvalidFieldException.java
@@ -1,6 +1,6 @@
 package spanrill.wire.platform;
 
-/** A message that is framed well has a field that can't be used; says which and why. */
+/** A field of a correctly framed message is missing or unusable; the message names the field and the reason. */
 public final class InvalidFieldException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int cause;
@@ -10,7 +10,7 @@
         this.cause = cause;
     }
 
-    /** The cause to release the set-up with. */
+    /** Returns the cause to release the set-up with, one of {@link Cause}. */
     public int releaseCause() {
         return cause;
     }
--- a/wire/src/main/java/spanrill/wire/platform/LoadReport.java
+++ b/wire/src/main/java/spanrill/wire/platform/LoadReport.java
@@ -3,29 +3,29 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Load reports of servers, as in {@code x0:12;x1:40;queue:3}. */
+/** Parses load reports of servers, such as {@code x0:12;x1:40;queue:3}. */
 public final class LoadReport {
-    private static final int MOST_FIELDS = 16;
+    private static final int MAX_FIELDS = 16;
 
     private LoadReport() {}
 
-    /** The figures by name, null where there is no report; a part that is no figure is left out. */
+    /** Returns the values by name, or null where there is no report; parts without a finite number are ignored. */
     public static Map<String, Double> parse(String text) {
         if (text == null) {
             return null;
         }
         Map<String, Double> values = new HashMap<>();
-        for (String part : text.split(";", MOST_FIELDS + 1)) {
+        for (String part : text.split(";", MAX_FIELDS + 1)) {
             int colon = part.indexOf(':');
             double value = colon <= 0 ? Double.NaN : parseFinite(part.substring(colon + 1));
-            if (Double.isFinite(value) && values.size() < MOST_FIELDS) {
+            if (Double.isFinite(value) && values.size() < MAX_FIELDS) {
                 values.put(part.substring(0, colon), value);
             }
         }
         return values;
     }
 
-    /** A finite number, or NaN. */
+    /** Returns the number that the text holds, or NaN when it is absent, malformed or not finite. */
     public static double parseFinite(String text) {
         try {
             double value = text == null ? Double.NaN : Double.parseDouble(text);
--- a/wire/src/main/java/spanrill/wire/platform/Message.java
+++ b/wire/src/main/java/spanrill/wire/platform/Message.java
@@ -5,25 +5,25 @@
 import java.util.Arrays;
 
 /**
- * One message: type, session and parameters in their order. Built by the decoder, or by hand with {@link
- * #with}. Not safe for use by more than one thread.
+ * One message: type, session and parameters in the order in which they were added. The decoder builds received
+ * messages; senders add parameters with {@link #with}. Not thread-safe.
  */
 public final class Message {
-    /** All that follows the length field: 16 KiB at most. */
+    /** Maximum size of a message in bytes, without the length field. */
     public static final int MAX_BYTES = 16 * 1024;
-    /** Type and session. */
+    /** Minimum size of a message in bytes, without the length field: type and session. */
     static final int MIN_BYTES = 9;
 
-    private static final int PARAMETER_HEAD = 3;
+    private static final int PARAMETER_HEADER_BYTES = 3;
 
     private final MessageType type;
     private final long session;
     private int[] codes = new int[6];
     private byte[][] values = new byte[6][];
     private int count;
-    private boolean repeated;
+    private boolean duplicateParameter;
 
-    /** Without parameters yet. */
+    /** Creates a message without parameters. */
     public Message(MessageType type, long session) {
         this.type = type;
         this.session = session;
@@ -31,7 +31,7 @@
 
     /** Adds a parameter. */
     public Message with(int code, byte[] value) {
-        repeated |= has(code);
+        duplicateParameter |= has(code);
         if (count == codes.length) {
             codes = Arrays.copyOf(codes, 2 * count);
             values = Arrays.copyOf(values, 2 * count);
@@ -41,37 +41,37 @@
         return this;
     }
 
-    /** Adds a parameter that is text; none where the text is null. */
+    /** Adds a text parameter, encoded in UTF-8; a null text adds nothing. */
     public Message with(int code, String text) {
         return text == null ? this : with(code, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Adds a cause. */
+    /** Adds a cause parameter. */
     public Message withCause(int cause) {
         return with(Parameter.CAUSE, new byte[] {(byte) cause});
     }
 
-    /** What it is. */
+    /** Returns the type. */
     public MessageType type() {
         return type;
     }
 
-    /** The session that it names. */
+    /** Returns the number of the session that the message concerns. */
     public long session() {
         return session;
     }
 
-    /** True when a parameter came twice. */
+    /** Returns whether any parameter code occurs more than once. */
     public boolean hasDuplicateParameter() {
-        return repeated;
+        return duplicateParameter;
     }
 
-    /** True when it has such a parameter. */
+    /** Returns whether a parameter with the code is present. */
     public boolean has(int code) {
         return get(code) != null;
     }
 
-    /** Value of the first parameter with a code, or null. */
+    /** Returns the value of the first parameter with the code, or null. */
     public byte[] get(int code) {
         for (int i = 0; i < count; i++) {
             if (codes[i] == code) {
@@ -81,36 +81,36 @@
         return null;
     }
 
-    /** The same as text, or null. */
+    /** Returns the first parameter with the code as UTF-8 text, or null. */
     public String text(int code) {
         byte[] value = get(code);
         return value == null ? null : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** The cause, or -1 where there is none or it is not one byte. */
+    /** Returns the cause, or -1 when it is absent or not exactly one byte. */
     public int cause() {
         byte[] value = get(Parameter.CAUSE);
         return value == null || value.length != 1 ? -1 : value[0] & 0xff;
     }
 
-    /** Bytes on the wire, the length field included. */
+    /** Returns the encoded size in bytes, including the length field. */
     public int size() {
         int size = 2 + MIN_BYTES;
         for (int i = 0; i < count; i++) {
-            size += PARAMETER_HEAD + values[i].length;
+            size += PARAMETER_HEADER_BYTES + values[i].length;
         }
         return size;
     }
 
     /**
-     * Writes it.
+     * Encodes the message.
      *
-     * @throws IllegalStateException when it is longer than a message may be
+     * @throws IllegalStateException when the message is longer than {@link #MAX_BYTES}
      */
     public void write(ByteBuf out) {
         int size = size() - 2;
         if (size > MAX_BYTES) {
-            throw new IllegalStateException("a message of " + size + " bytes");
+            throw new IllegalStateException("message of " + size + " bytes exceeds the maximum length");
         }
         out.writeShort(size).writeByte(type.code()).writeLong(session);
         for (int i = 0; i < count; i++) {
--- a/wire/src/main/java/spanrill/wire/platform/MessageDecoder.java
+++ b/wire/src/main/java/spanrill/wire/platform/MessageDecoder.java
@@ -3,39 +3,39 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Reads messages from whatever pieces a stream comes in. It keeps at most one message that is not complete;
- * its room grows with the bytes that came, not with the length that the sender states.
+ * Decodes messages from a stream that arrives in fragments of any size. The decoder buffers at most one incomplete
+ * message; the buffer grows with the bytes received, not with the length that the sender declares.
  */
 public final class MessageDecoder {
-    private ByteBuf kept;
+    private ByteBuf partial;
 
-    /** Takes the messages of a read, one by one. */
+    /** Receives the decoded messages one by one. */
     public interface Sink {
-        /** A whole message; false: read no further, the connection is done with. */
+        /** Handles a complete message; returns false to stop decoding because the connection is no longer used. */
         boolean onMessage(Message message);
     }
 
     /**
-     * Reads all that is complete. The buffer stays the caller's.
+     * Decodes every complete message and buffers the rest. The caller keeps ownership of {@code in}.
      *
-     * @throws MalformedFrameException when what comes is no message; the decoder is of no further use then
+     * @throws MalformedFrameException when the bytes are not a valid message; the decoder must not be used afterwards
      */
     public void feed(ByteBuf in, Sink sink) {
-        if (kept != null && kept.isReadable()) {
-            while (in.isReadable() && kept.isReadable()) {
-                // No more is taken over than the message at hand needs, so that nothing is copied twice.
-                int want = kept.readableBytes() < 2 ? 2 : 2 + length(kept);
-                int take = Math.min(in.readableBytes(), want - kept.readableBytes());
-                kept.writeBytes(in, take);
-                if (!read(kept, sink)) {
+        if (partial != null && partial.isReadable()) {
+            while (in.isReadable() && partial.isReadable()) {
+                // Copies no more bytes than the buffered message needs, so that no byte is copied twice.
+                int needed = partial.readableBytes() < 2 ? 2 : 2 + length(partial);
+                int copied = Math.min(in.readableBytes(), needed - partial.readableBytes());
+                partial.writeBytes(in, copied);
+                if (!read(partial, sink)) {
                     return;
                 }
-                if (!kept.isReadable()) {
+                if (!partial.isReadable()) {
                     release();
                     break;
                 }
             }
-            if (kept != null) {
+            if (partial != null) {
                 return;
             }
         }
@@ -45,34 +45,34 @@
                 return;
             }
             if (in.readerIndex() == before) {
-                kept = in.alloc().heapBuffer(Math.max(64, in.readableBytes()));
-                kept.writeBytes(in);
+                partial = in.alloc().heapBuffer(Math.max(64, in.readableBytes()));
+                partial.writeBytes(in);
             }
         }
     }
 
-    /** True when a message has begun and is not complete. */
+    /** Returns whether part of a message is buffered. */
     public boolean hasPartialMessage() {
-        return kept != null && kept.isReadable();
+        return partial != null && partial.isReadable();
     }
 
-    /** Lets go of what it keeps. */
+    /** Releases the buffer of an incomplete message. */
     public void release() {
-        if (kept != null) {
-            kept.release();
-            kept = null;
+        if (partial != null) {
+            partial.release();
+            partial = null;
         }
     }
 
     private static int length(ByteBuf in) {
         int length = in.getUnsignedShort(in.readerIndex());
         if (length < Message.MIN_BYTES || length > Message.MAX_BYTES) {
-            throw new MalformedFrameException("a message of " + length + " bytes");
+            throw new MalformedFrameException("message length " + length + " is out of range");
         }
         return length;
     }
 
-    /** Reads one message where it is whole; false when the sink has enough. */
+    /** Decodes one message if it is complete; returns false when the sink asks to stop. */
     private static boolean read(ByteBuf in, Sink sink) {
         if (in.readableBytes() < 2) {
             return true;
@@ -85,16 +85,17 @@
         int end = in.readerIndex() + length;
         Message message = new Message(MessageType.of(in.readUnsignedByte()), in.readLong());
         while (in.readerIndex() < end) {
-            int left = end - in.readerIndex();
-            if (left < 3) {
-                throw new MalformedFrameException("a parameter cut short");
+            int remaining = end - in.readerIndex();
+            if (remaining < 3) {
+                throw new MalformedFrameException("a parameter header is truncated");
             }
             int code = in.readUnsignedByte();
-            int bytes = in.readUnsignedShort();
-            if (bytes > left - 3) {
-                throw new MalformedFrameException("parameter " + code + " of " + bytes + " bytes does not fit");
+            int valueBytes = in.readUnsignedShort();
+            if (valueBytes > remaining - 3) {
+                throw new MalformedFrameException(
+                        "parameter " + code + " of " + valueBytes + " bytes exceeds its message");
             }
-            byte[] value = new byte[bytes];
+            byte[] value = new byte[valueBytes];
             in.readBytes(value);
             message.with(code, value);
         }
--- a/wire/src/main/java/spanrill/wire/platform/MessageType.java
+++ b/wire/src/main/java/spanrill/wire/platform/MessageType.java
@@ -1,28 +1,28 @@
 package spanrill.wire.platform;
 
-/** Types of message, each with its code on the wire. */
+/** Message types with their codes on the wire. */
 public enum MessageType {
-    /** Sets a session up; with a description. */
+    /** Sets up a session; carries the viewer's description. */
     SET_UP(1),
-    /** Progress of a set-up; means nothing. */
+    /** Progress of a set-up; carries no information and is ignored. */
     PROGRESS(6),
-    /** The session stands; with the server's description. */
+    /** The session is established; carries the server's description. */
     ANSWER(9),
-    /** Refusal, give-up or end, told apart by the cause and the state of the session. */
+    /** Refusal, cancellation or end, distinguished by the cause and the state of the session. */
     RELEASE(12),
-    /** A release was heard; free. */
+    /** Acknowledges a release; the session number is free afterwards. */
     RELEASE_ACKNOWLEDGED(16),
-    /** A note on a session that stands. */
+    /** A note on an established session. */
     NOTE(44),
-    /** The session moves: its viewer comes again. */
+    /** The session moves to another server: the viewer sets it up anew. */
     MOVE(51),
-    /** A test of the peer. */
+    /** Probe of the peer. */
     TEST(52),
-    /** What the test came to. */
+    /** Result of a probe. */
     TEST_RESULT(53),
-    /** A new rung of a session that stands. */
+    /** A new rung for an established session. */
     RUNG(60),
-    /** Well framed, of a type that is not known here. */
+    /** A correctly framed message of an unknown type. */
     UNKNOWN(-1);
 
     private static final MessageType[] BY_CODE = new MessageType[256];
@@ -41,12 +41,12 @@
         this.code = code;
     }
 
-    /** Its code on the wire. */
+    /** Returns the code on the wire, or -1 for {@link #UNKNOWN}. */
     public int code() {
         return code;
     }
 
-    /** The type of a code, {@link #UNKNOWN} where there is none. */
+    /** Returns the type of a code, or {@link #UNKNOWN}. */
     public static MessageType of(int code) {
         MessageType type = BY_CODE[code & 0xff];
         return type == null ? UNKNOWN : type;
--- a/wire/src/main/java/spanrill/wire/platform/Parameter.java
+++ b/wire/src/main/java/spanrill/wire/platform/Parameter.java
@@ -1,28 +1,28 @@
 package spanrill.wire.platform;
 
-/** Codes of parameters. Values are text, but for the cause (one byte) and the description. */
+/** Parameter codes. Values are UTF-8 text, except for the cause (one byte) and the description (any bytes). */
 public final class Parameter {
-    /** Class of session. */
+    /** Session class. */
     public static final int CLASS = 1;
-    /** How long the sender waits for the answer, ms. */
+    /** How long the sender waits for the answer, in ms. */
     public static final int WAIT = 2;
-    /** The title. */
+    /** Title, 16 hex digits. */
     public static final int TITLE = 5;
-    /** Figures of the request and its viewer. */
+    /** Attributes of the request and its viewer, see {@link RequestAttributes}. */
     public static final int ATTRIBUTES = 6;
-    /** How long to stay away after a refusal, ms. */
+    /** Minimum delay before a retry after a refusal, in ms. */
     public static final int RETRY_AFTER = 7;
-    /** Kind of a note. */
+    /** Kind of note. */
     public static final int NOTE_KIND = 8;
-    /** A load report. */
+    /** Load report, see {@link LoadReport}. */
     public static final int LOAD_REPORT = 10;
-    /** A rung, from 0. */
+    /** Rung, counted from 0. */
     public static final int RUNG = 12;
-    /** Figure of a note. */
+    /** Numeric value of a note. */
     public static final int NOTE_VALUE = 13;
-    /** Cause of a release or of a test and its result; one byte. */
+    /** Cause of a release, a test or a test result; one byte. */
     public static final int CAUSE = 15;
-    /** Description of a session; any bytes. */
+    /** Description of a session; opaque bytes. */
     public static final int DESCRIPTION = 16;
 
     private Parameter() {}
--- a/wire/src/test/java/spanrill/wire/box/BoxLinkTest.java
+++ b/wire/src/test/java/spanrill/wire/box/BoxLinkTest.java
@@ -11,7 +11,7 @@
 
 class BoxLinkTest {
     @Test
-    void loadReportsAreReadBack() {
+    void loadReportsSurviveARoundTrip() {
         assertEquals(new Load(7, 0.4, 1.25), BoxLink.parseLoad(BoxLink.formatLoad(new Load(7, 0.4, 1.25))));
         assertTrue(
                 Double.isNaN(BoxLink.parseLoad("inflight=-3;x0=NaN;x1=Infinity").link()));
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void notesAreReadBack() {
+    void notesSurviveARoundTripAndMalformedOnesAreRejected() {
         Note note = new Note(Note.Kind.DELIVERED, "a-0.1", 0.83);
         assertEquals(note, Note.parse(note.format().trim()));
         assertNull(Note.parse("delivered\ta"));
@@ -29,7 +29,7 @@
     }
 
     @Property(tries = 1000, seed = "20261201")
-    void anyTextIsReadOrPassedOver(@ForAll String text) {
+    void arbitraryTextIsParsedWithoutException(@ForAll String text) {
         Note.parse(text);
         BoxLink.parseLoad(text);
     }
--- a/wire/src/test/java/spanrill/wire/dash/CmcdTest.java
+++ b/wire/src/test/java/spanrill/wire/dash/CmcdTest.java
@@ -19,13 +19,13 @@
                 "bl=x,mtp=-4,sid=abc|-1|-1|false|false|",
                 ",,=,|-1|-1|false|false|"
             })
-    void readsWhatPlayersTell(
+    void parsesKnownKeysAndIgnoresMalformedValues(
             String text, long buffer, long throughput, boolean starved, boolean startup, String session) {
         assertEquals(new Cmcd(buffer, throughput, starved, startup, session), Cmcd.parse(text));
     }
 
     @Property(tries = 2000, seed = "20261201")
-    void anyTextIsReadOrPassedOver(@ForAll String text) {
+    void arbitraryTextIsParsedWithoutException(@ForAll String text) {
         Cmcd.parse(text);
         Cmcd.decodeQueryParameter(text);
     }
--- a/wire/src/test/java/spanrill/wire/http/HttpParserTest.java
+++ b/wire/src/test/java/spanrill/wire/http/HttpParserTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HttpParserTest {
-    private static final String[] GOOD = {
+    private static final String[] VALID_REQUESTS = {
         "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
         "POST /x?y=1 HTTP/1.1\r\nHost:a\r\nContent-Length: 5\r\n\r\nhello",
         "PUT /x HTTP/1.1\r\nHOST: \t a \t\r\nTransfer-Encoding: Chunked\r\n\r\n5;q=1\r\nhello\r\n"
@@ -29,40 +29,44 @@
     };
 
     private static final String CHUNKED = "PUT / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: ";
+    private static final String OK_WITH_LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: ";
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Cut anywhere, the messages are the same. */
+    /** The parsed messages must not depend on where the stream is split. */
     @Test
-    void splitsAtEveryByteBoundaryChangeNothing() {
-        for (String text : GOOD) {
-            byte[] all = bytes(text);
-            List<String> whole = Recorder.request(text);
-            assertTrue(whole.get(whole.size() - 1).startsWith("end"), whole.toString());
-            for (int a = 0; a <= all.length; a++) {
-                assertEquals(whole, Recorder.parse(HttpParser.Role.REQUEST, HttpLimits.SERVER, all, a));
-                for (int b = a; b <= all.length; b += 3) {
-                    assertEquals(whole, Recorder.parse(HttpParser.Role.REQUEST, HttpLimits.SERVER, all, a, b));
+    void parsesTheSameMessagesWhateverTheFragments() {
+        for (String text : VALID_REQUESTS) {
+            byte[] bytes = bytes(text);
+            List<String> unsplit = RecordingSink.parseRequest(text);
+            assertTrue(unsplit.get(unsplit.size() - 1).startsWith("end"), unsplit.toString());
+            for (int firstSplit = 0; firstSplit <= bytes.length; firstSplit++) {
+                assertEquals(
+                        unsplit, RecordingSink.parse(HttpParser.Role.REQUEST, HttpLimits.SERVER, bytes, firstSplit));
+                for (int secondSplit = firstSplit; secondSplit <= bytes.length; secondSplit += 3) {
+                    assertEquals(
+                            unsplit,
+                            RecordingSink.parse(
+                                    HttpParser.Role.REQUEST, HttpLimits.SERVER, bytes, firstSplit, secondSplit));
                 }
             }
-            int[] each = new int[all.length];
-            Arrays.setAll(each, i -> i);
-            assertEquals(whole, Recorder.parse(HttpParser.Role.REQUEST, HttpLimits.SERVER, all, each));
+            int[] everyOffset = new int[bytes.length];
+            Arrays.setAll(everyOffset, i -> i);
+            assertEquals(unsplit, RecordingSink.parse(HttpParser.Role.REQUEST, HttpLimits.SERVER, bytes, everyOffset));
         }
     }
 
     @Test
-    void readsChunksTrailersAndPipelines() {
+    void parsesChunksTrailersAndPipelinedRequests() {
         assertEquals(
                 List.of("PUT /x [host, transfer-encoding]=[a, Chunked]", "end hello0123456789"),
-                Recorder.request(GOOD[2]));
-        assertEquals(4, Recorder.request(GOOD[3]).size());
+                RecordingSink.parseRequest(VALID_REQUESTS[2]));
+        assertEquals(4, RecordingSink.parseRequest(VALID_REQUESTS[3]).size());
     }
 
-    /** What two parsers could read in two ways is refused. */
+    /** Guards against request smuggling: input that two parsers could interpret differently is rejected. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -97,19 +101,19 @@
                 "Content-Length: 100000~~|413",
                 "Transfer-Encoding: chunked~~FFFFFF~|0"
             })
-    void refusesSmugglingShapes(String rest, int status) {
-        // In the table ~ is CRLF, ` a bare LF, ^ a bare CR, % a NUL.
+    void rejectsAmbiguousMessages(String fields, int status) {
+        // In the table, ~ stands for CRLF, ` for a bare LF, ^ for a bare CR and % for NUL.
         String text = "POST / HTTP/1.1\r\nHost: a\r\n"
-                + rest.replace("~", "\r\n")
+                + fields.replace("~", "\r\n")
                         .replace("`", "\n")
                         .replace("^", "\r")
                         .replace("%", "\0");
-        if (rest.startsWith("~")) {
-            text = "GET / HTTP/1.1\r\n" + rest.substring(1).replace("~", "\r\n");
+        if (fields.startsWith("~")) {
+            text = "GET / HTTP/1.1\r\n" + fields.substring(1).replace("~", "\r\n");
         }
-        List<String> said = Recorder.request(text);
+        List<String> calls = RecordingSink.parseRequest(text);
         if (status != 0) {
-            assertEquals("fault " + status, said.get(said.size() - 1), text);
+            assertEquals("fault " + status, calls.get(calls.size() - 1), text);
         }
     }
 
@@ -126,64 +130,67 @@
         "'GET / HTTP/1.1 ',400",
         "ABCDEFGHIJKLMNOPQRSTUVWXYZ / HTTP/1.1,501"
     })
-    void refusesBadRequestLines(String line, int status) {
-        assertEquals(List.of("fault " + status), Recorder.request(line + "\r\nHost: a\r\n\r\n"));
+    void rejectsMalformedRequestLines(String line, int status) {
+        assertEquals(List.of("fault " + status), RecordingSink.parseRequest(line + "\r\nHost: a\r\n\r\n"));
     }
 
     @Test
-    void hostMustBeGivenOnceInHttp11() {
-        assertEquals(List.of("fault 400"), Recorder.request("GET / HTTP/1.1\r\n\r\n"));
+    void http11RequestWithoutHostIsRejected() {
+        assertEquals(List.of("fault 400"), RecordingSink.parseRequest("GET / HTTP/1.1\r\n\r\n"));
     }
 
     @Test
-    void boundsLinesFieldsAndHeads() {
-        HttpLimits small = new HttpLimits(40, 3, 90, 10);
+    void messagesAboveTheLimitsAreRejected() {
+        HttpLimits limits = new HttpLimits(40, 3, 90, 10);
         assertEquals(
-                List.of("fault 414"), Recorder.parse(HttpParser.Role.REQUEST, small, bytes("GET /" + "a".repeat(60))));
+                List.of("fault 414"),
+                RecordingSink.parse(HttpParser.Role.REQUEST, limits, bytes("GET /" + "a".repeat(60))));
         assertEquals(
                 List.of("fault 431"),
-                Recorder.parse(HttpParser.Role.REQUEST, small, bytes("GET / HTTP/1.1\r\nX: " + "a".repeat(60))));
+                RecordingSink.parse(HttpParser.Role.REQUEST, limits, bytes("GET / HTTP/1.1\r\nX: " + "a".repeat(60))));
         assertEquals(
                 List.of("fault 431"),
-                Recorder.parse(
-                        HttpParser.Role.REQUEST, small, bytes("GET / HTTP/1.1\r\na:1\r\nb:1\r\nc:1\r\nd:1\r\n\r\n")));
+                RecordingSink.parse(
+                        HttpParser.Role.REQUEST, limits, bytes("GET / HTTP/1.1\r\na:1\r\nb:1\r\nc:1\r\nd:1\r\n\r\n")));
         assertEquals(
                 List.of("fault 431"),
-                Recorder.parse(
+                RecordingSink.parse(
                         HttpParser.Role.REQUEST,
-                        small,
+                        limits,
                         bytes("GET / HTTP/1.1\r\na:" + "1".repeat(37) + "\r\nb:" + "1".repeat(37) + "\r\n\r\n")));
-        List<String> body =
-                Recorder.parse(HttpParser.Role.REQUEST, small, bytes(CHUNKED + "8\r\n12345678\r\n8\r\n12345678"));
-        assertEquals("fault 413", body.get(1));
-        List<String> trailers =
-                Recorder.parse(HttpParser.Role.REQUEST, small, bytes(CHUNKED + "0\r\na:1\r\nb:1\r\nc:1\r\nd:1\r\n"));
-        assertEquals("fault 431", trailers.get(1));
+        List<String> bodyCalls =
+                RecordingSink.parse(HttpParser.Role.REQUEST, limits, bytes(CHUNKED + "8\r\n12345678\r\n8\r\n12345678"));
+        assertEquals("fault 413", bodyCalls.get(1));
+        List<String> trailerCalls = RecordingSink.parse(
+                HttpParser.Role.REQUEST, limits, bytes(CHUNKED + "0\r\na:1\r\nb:1\r\nc:1\r\nd:1\r\n"));
+        assertEquals("fault 431", trailerCalls.get(1));
     }
 
     @Test
-    void responsesWithoutBodyAndUntilClose() throws Exception {
-        assertEquals(List.of("204 No Content []=[]", "end "), Recorder.response("HTTP/1.1 204 No Content\r\n\r\n"));
+    void parsesResponsesWithoutBodyAndBodiesUntilClose() throws Exception {
+        assertEquals(
+                List.of("204 No Content []=[]", "end "),
+                RecordingSink.parseResponse("HTTP/1.1 204 No Content\r\n\r\n"));
         assertEquals(
                 List.of("200 OK [content-length]=[2]", "end ok"),
-                Recorder.response("HTTP/1.1 103 Early\r\nX: 1\r\n\r\n" + OK + "2\r\n\r\nok"));
-        Recorder recorder = new Recorder();
-        HttpParser parser = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, recorder);
+                RecordingSink.parseResponse("HTTP/1.1 103 Early\r\nX: 1\r\n\r\n" + OK_WITH_LENGTH + "2\r\n\r\nok"));
+        RecordingSink sink = new RecordingSink();
+        HttpParser parser = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, sink);
         parser.feed(Unpooled.wrappedBuffer(bytes("HTTP/1.0 200 OK\r\n\r\nall of it")));
         assertTrue(parser.endOfInput());
-        assertEquals("end all of it", recorder.said.get(1));
-        HttpParser cut = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, new Recorder());
-        cut.feed(Unpooled.wrappedBuffer(bytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nal")));
-        assertThrows(HttpProtocolException.class, cut::endOfInput);
+        assertEquals("end all of it", sink.calls.get(1));
+        HttpParser truncated = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, new RecordingSink());
+        truncated.feed(Unpooled.wrappedBuffer(bytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nal")));
+        assertThrows(HttpProtocolException.class, truncated::endOfInput);
     }
 
     @Test
-    void anAnswerToHeadHasNoBody() throws Exception {
-        Recorder recorder = new Recorder();
-        HttpParser parser = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, recorder);
+    void responseToHeadHasNoBody() throws Exception {
+        RecordingSink sink = new RecordingSink();
+        HttpParser parser = new HttpParser(HttpParser.Role.RESPONSE, HttpLimits.CLIENT, sink);
         parser.expectResponseToHead(true);
-        assertTrue(parser.feed(Unpooled.wrappedBuffer(bytes(OK + "5\r\n\r\n"))));
-        assertEquals("end ", recorder.said.get(1));
+        assertTrue(parser.feed(Unpooled.wrappedBuffer(bytes(OK_WITH_LENGTH + "5\r\n\r\n"))));
+        assertEquals("end ", sink.calls.get(1));
     }
 
     @ParameterizedTest
@@ -196,27 +203,29 @@
                 "HTTP/1.1 101 Upgrade\r\n\r\n",
                 "\r\n"
             })
-    void refusesBadStatusLines(String text) {
-        assertTrue(Recorder.response(text).get(0).startsWith("fault"), text);
+    void rejectsMalformedStatusLines(String text) {
+        assertTrue(RecordingSink.parseResponse(text).get(0).startsWith("fault"), text);
     }
 
-    /** Bytes of any kind, cut anywhere: a message, a fault, or more is awaited; never anything else. */
+    /** Arbitrary bytes are parsed, rejected or incomplete, independently of the fragments; nothing else is thrown. */
     @Property(tries = 4000, seed = "20261201")
-    void anyBytesAreTakenOrRefused(@ForAll("messy") String text, @ForAll @Size(max = 6) List<Integer> cuts) {
-        byte[] all = bytes(text);
-        int[] at = cuts.stream()
-                .mapToInt(c -> Math.floorMod(c, all.length + 1))
+    void arbitraryBytesAreParsedOrRejected(
+            @ForAll("messageFragments") String text, @ForAll @Size(max = 6) List<Integer> splits) {
+        byte[] bytes = bytes(text);
+        int[] offsets = splits.stream()
+                .mapToInt(split -> Math.floorMod(split, bytes.length + 1))
                 .sorted()
                 .toArray();
         for (HttpParser.Role role : HttpParser.Role.values()) {
             assertEquals(
-                    Recorder.parse(role, HttpLimits.SERVER, all), Recorder.parse(role, HttpLimits.SERVER, all, at));
+                    RecordingSink.parse(role, HttpLimits.SERVER, bytes),
+                    RecordingSink.parse(role, HttpLimits.SERVER, bytes, offsets));
         }
     }
 
     @Provide
-    Arbitrary<String> messy() {
-        Arbitrary<String> pieces = Arbitraries.of(
+    Arbitrary<String> messageFragments() {
+        Arbitrary<String> fragments = Arbitraries.of(
                 "GET ",
                 "/",
                 " HTTP/1.1",
@@ -241,6 +250,6 @@
                 "Connection: close",
                 "FFFFFFFF",
                 "\r\n\r\n");
-        return pieces.list().ofMaxSize(40).map(list -> String.join("", list));
+        return fragments.list().ofMaxSize(40).map(parts -> String.join("", parts));
     }
 }
--- a/wire/src/test/java/spanrill/wire/platform/MessageDecoderTest.java
+++ b/wire/src/test/java/spanrill/wire/platform/MessageDecoderTest.java
@@ -21,27 +21,27 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class MessageDecoderTest {
-    private static byte[] bytes(Message... messages) {
+    private static byte[] encode(Message... messages) {
         ByteBuf out = Unpooled.buffer();
         Arrays.stream(messages).forEach(message -> message.write(out));
         return ByteBufUtil.getBytes(out);
     }
 
-    private static String text(Message message) {
+    private static String encodeHex(Message message) {
         ByteBuf out = Unpooled.buffer();
         message.write(out);
         return ByteBufUtil.hexDump(out);
     }
 
-    /** What the decoder reads of a stream that is cut before each of the places. */
-    private static List<String> read(byte[] stream, int... cuts) {
+    /** Returns the messages that the decoder reads when the stream is split at the given offsets. */
+    private static List<String> decode(byte[] stream, int... offsets) {
         MessageDecoder decoder = new MessageDecoder();
         List<String> read = new ArrayList<>();
-        int from = 0;
-        for (int i = 0; i <= cuts.length; i++) {
-            int to = i < cuts.length ? Math.max(from, cuts[i]) : stream.length;
-            decoder.feed(Unpooled.wrappedBuffer(stream, from, to - from), message -> read.add(text(message)));
-            from = to;
+        int start = 0;
+        for (int i = 0; i <= offsets.length; i++) {
+            int end = i < offsets.length ? Math.max(start, offsets[i]) : stream.length;
+            decoder.feed(Unpooled.wrappedBuffer(stream, start, end - start), message -> read.add(encodeHex(message)));
+            start = end;
         }
         decoder.release();
         return read;
@@ -54,36 +54,36 @@
                 .with(Parameter.DESCRIPTION, new byte[] {0, -1, 7});
     }
 
-    /** The page's form, byte by byte. */
+    /** The encoding must match the platform's specification byte by byte. */
     @Test
-    void writesTheFormOfThePlatform() {
+    void encodesMessagesAsSpecified() {
         assertEquals(
                 "000d" + "0c" + "7f3a9c21e0b4d655" + "0f" + "0001" + "22",
-                text(new Message(MessageType.RELEASE, 0x7f3a9c21e0b4d655L).withCause(Cause.NO_CIRCUIT)));
+                encodeHex(new Message(MessageType.RELEASE, 0x7f3a9c21e0b4d655L).withCause(Cause.NO_CIRCUIT)));
     }
 
     @Test
-    void splitsAtEveryTwoPlacesChangeNothing() {
-        byte[] stream = bytes(setUp(1), new Message(MessageType.TEST, 0).withCause(0), setUp(2));
-        List<String> whole = read(stream);
-        assertEquals(3, whole.size());
-        for (int a = 0; a <= stream.length; a++) {
-            for (int b = a; b <= stream.length; b++) {
-                assertEquals(whole, read(stream, a, b));
+    void decodesTheSameMessagesWhateverTheFragments() {
+        byte[] stream = encode(setUp(1), new Message(MessageType.TEST, 0).withCause(0), setUp(2));
+        List<String> unsplit = decode(stream);
+        assertEquals(3, unsplit.size());
+        for (int firstSplit = 0; firstSplit <= stream.length; firstSplit++) {
+            for (int secondSplit = firstSplit; secondSplit <= stream.length; secondSplit++) {
+                assertEquals(unsplit, decode(stream, firstSplit, secondSplit));
             }
         }
     }
 
     @Test
-    void truncationAtEveryByteYieldsOnlyWholeMessages() {
-        byte[] one = bytes(setUp(1));
-        byte[] stream = bytes(setUp(1), setUp(2));
-        for (int n = 0; n < stream.length; n++) {
+    void truncatedStreamYieldsOnlyCompleteMessages() {
+        byte[] firstMessage = encode(setUp(1));
+        byte[] stream = encode(setUp(1), setUp(2));
+        for (int length = 0; length < stream.length; length++) {
             MessageDecoder decoder = new MessageDecoder();
             List<Message> read = new ArrayList<>();
-            decoder.feed(Unpooled.wrappedBuffer(stream, 0, n), read::add);
-            assertEquals(n / one.length, read.size());
-            assertEquals(n % one.length != 0, decoder.hasPartialMessage());
+            decoder.feed(Unpooled.wrappedBuffer(stream, 0, length), read::add);
+            assertEquals(length / firstMessage.length, read.size());
+            assertEquals(length % firstMessage.length != 0, decoder.hasPartialMessage());
             decoder.release();
         }
     }
@@ -100,13 +100,13 @@
                 "000d" + "01" + "0000000000000001" + "0100020a",
                 "000d" + "01" + "0000000000000001" + "01ffff0a"
             })
-    void whatCanNotBeFramedIsAFault(String hex) {
+    void malformedFrameIsRejected(String hex) {
         byte[] stream = ByteBufUtil.decodeHexDump(hex);
-        assertThrows(MalformedFrameException.class, () -> read(stream));
+        assertThrows(MalformedFrameException.class, () -> decode(stream));
     }
 
     @Test
-    void unknownTypesAndParametersAreHandedOn() {
+    void unknownTypesAndParametersAreDelivered() {
         List<Message> read = new ArrayList<>();
         new MessageDecoder()
                 .feed(
@@ -118,18 +118,18 @@
     }
 
     @Test
-    void theLongestMessageIsReadAndNothingLonger() {
+    void messageOfMaximumSizeIsDecodedAndALongerOneIsRejected() {
         Message longest =
                 new Message(MessageType.ANSWER, 1).with(Parameter.DESCRIPTION, new byte[Message.MAX_BYTES - 9 - 3]);
-        assertEquals(1, read(bytes(longest), 5, 700, 9000).size());
+        assertEquals(1, decode(encode(longest), 5, 700, 9000).size());
         assertThrows(
                 IllegalStateException.class,
                 () -> longest.with(200, new byte[0]).write(Unpooled.buffer()));
     }
 
-    /** A sender who states 16 KiB and sends a byte at a time must not choose our memory. */
+    /** Guards against a sender that declares 16 KiB and sends byte by byte to make the decoder allocate memory. */
     @Test
-    void keepsNoMoreThanWhatCame() {
+    void buffersOnlyReceivedBytesOfAnIncompleteMessage() {
         MessageDecoder decoder = new MessageDecoder();
         ByteBuf in = Unpooled.wrappedBuffer(new byte[] {0x40, 0, 1, 2, 3});
         decoder.feed(in, message -> true);
@@ -140,7 +140,8 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void roundTripsInAnyPieces(@ForAll @Size(max = 5) List<@IntRange(max = 400) Integer> sizes, @ForAll long seed) {
+    void messagesSurviveARoundTripInFragments(
+            @ForAll @Size(max = 5) List<@IntRange(max = 400) Integer> sizes, @ForAll long seed) {
         Random random = new Random(seed);
         List<String> sent = new ArrayList<>();
         ByteBuf out = Unpooled.buffer();
@@ -151,36 +152,38 @@
                     .with(random.nextInt(256), value)
                     .with(random.nextInt(256), new byte[random.nextInt(3)]);
             message.write(out);
-            sent.add(text(message));
+            sent.add(encodeHex(message));
         }
         byte[] stream = ByteBufUtil.getBytes(out);
-        int[] cuts = random.ints(4, 0, stream.length + 1).sorted().toArray();
-        assertEquals(sent, read(stream, cuts));
+        int[] offsets = random.ints(4, 0, stream.length + 1).sorted().toArray();
+        assertEquals(sent, decode(stream, offsets));
     }
 
-    /** The fuzz target: any bytes are read, or are a fault; nothing else happens. */
+    /** Fuzz test: arbitrary bytes are decoded or rejected, independently of the fragments; nothing else is thrown. */
     @Property(tries = 2000, seed = "20261201")
-    void anyBytesAreMessagesOrAFault(
-            @ForAll @Size(max = 80) byte[] noise, @ForAll @IntRange(max = 80) int cut, @ForAll boolean framed) {
-        byte[] stream = noise.clone();
+    void arbitraryBytesAreDecodedOrRejected(
+            @ForAll @Size(max = 80) byte[] randomBytes,
+            @ForAll @IntRange(max = 80) int offset,
+            @ForAll boolean framed) {
+        byte[] stream = randomBytes.clone();
         if (framed && stream.length > 11) {
             stream[0] = 0;
             stream[1] = (byte) (stream.length - 2);
         }
-        List<String> whole = new ArrayList<>();
+        List<String> unsplit = new ArrayList<>();
         List<String> split = new ArrayList<>();
-        String a = outcome(stream, whole);
-        String b = outcome(stream, split, Math.min(cut, stream.length));
-        assertEquals(a, b);
-        assertEquals(whole, split);
+        String unsplitOutcome = outcome(stream, unsplit);
+        String splitOutcome = outcome(stream, split, Math.min(offset, stream.length));
+        assertEquals(unsplitOutcome, splitOutcome);
+        assertEquals(unsplit, split);
     }
 
-    private static String outcome(byte[] stream, List<String> read, int... cuts) {
+    private static String outcome(byte[] stream, List<String> read, int... offsets) {
         try {
-            read.addAll(read(stream, cuts));
-            return "read";
-        } catch (MalformedFrameException fault) {
-            return "fault";
+            read.addAll(decode(stream, offsets));
+            return "decoded";
+        } catch (MalformedFrameException e) {
+            return "rejected";
         }
     }
 }
--- a/wire/src/test/java/spanrill/wire/platform/SetUpTest.java
+++ b/wire/src/test/java/spanrill/wire/platform/SetUpTest.java
@@ -13,30 +13,33 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SetUpTest {
-    private static final String FIGURES = "home:4;copies:3;top:4;viewer:00000000b4d65521";
+    private static final String ATTRIBUTES = "home:4;copies:3;top:4;viewer:00000000b4d65521";
 
-    private static Message message(String className, String wait, String title, String figures) {
+    private static Message message(String className, String wait, String title, String attributes) {
         return new Message(MessageType.SET_UP, 7)
                 .with(Parameter.CLASS, className)
                 .with(Parameter.WAIT, wait)
                 .with(Parameter.TITLE, title)
-                .with(Parameter.ATTRIBUTES, figures)
+                .with(Parameter.ATTRIBUTES, attributes)
                 .with(Parameter.DESCRIPTION, new byte[] {1, 2});
     }
 
     @Test
-    void readsAUsualSetUp() throws InvalidFieldException {
-        SetUp setUp = SetUp.of(message("paid", "1500", "7f3a9c21e0b4d655", FIGURES + ";again:1;new:x"));
+    void readsAValidSetUp() throws InvalidFieldException {
+        SetUp setUp = SetUp.of(message("paid", "1500", "7f3a9c21e0b4d655", ATTRIBUTES + ";again:1;new:x"));
         assertEquals(new RequestAttributes(4, 3, 4, "00000000b4d65521", true, null), setUp.attributes());
         assertEquals(1500, setUp.waitMs());
         assertArrayEquals(new byte[] {1, 2}, setUp.description());
     }
 
-    /** Guards against refusing the sessions of a start: their wait is no time, and none is waited for. */
+    /**
+     * Guards against rejecting sessions that viewers hand over to a restarted front: the viewers await no answer, and the
+     * wait parameter need not be a number.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"inf", "-1", "1e300", "later"})
-    void theWaitOfASessionThatPlaysIsNotRead(String wait) throws InvalidFieldException {
-        SetUp setUp = SetUp.of(message("paid", wait, "7f3a9c21e0b4d655", FIGURES + ";at:s-00c41f7a"));
+    void waitOfASessionThatAlreadyPlaysIsIgnored(String wait) throws InvalidFieldException {
+        SetUp setUp = SetUp.of(message("paid", wait, "7f3a9c21e0b4d655", ATTRIBUTES + ";at:s-00c41f7a"));
         assertEquals("s-00c41f7a", setUp.attributes().currentServer());
     }
 
@@ -60,24 +63,24 @@
                 "paid,1500,7f3a9c21e0b4d655,home:99999999999;copies:3;top:4;viewer:00000000b4d65521,100",
                 "paid,1500,7f3a9c21e0b4d655,home,100"
             })
-    void wrongFieldsAreFaultsWithACause(String className, String wait, String title, String figures, int cause) {
-        String given = "F".equals(figures) ? FIGURES : figures;
-        InvalidFieldException fault =
-                assertThrows(InvalidFieldException.class, () -> SetUp.of(message(className, wait, title, given)));
-        assertEquals(cause, fault.releaseCause());
+    void invalidFieldIsRejectedWithItsCause(String className, String wait, String title, String attributes, int cause) {
+        String sentAttributes = "F".equals(attributes) ? ATTRIBUTES : attributes;
+        InvalidFieldException exception = assertThrows(
+                InvalidFieldException.class, () -> SetUp.of(message(className, wait, title, sentAttributes)));
+        assertEquals(cause, exception.releaseCause());
     }
 
     @Test
-    void aParameterThatComesTwiceOrNoSessionIsAFault() {
+    void repeatedParameterOrSessionZeroIsRejected() {
         assertThrows(
                 InvalidFieldException.class,
                 () -> SetUp.of(
-                        message("paid", "1500", "7f3a9c21e0b4d655", FIGURES).with(Parameter.CLASS, "free")));
+                        message("paid", "1500", "7f3a9c21e0b4d655", ATTRIBUTES).with(Parameter.CLASS, "free")));
         assertThrows(InvalidFieldException.class, () -> SetUp.of(new Message(MessageType.SET_UP, 0)));
     }
 
     @Test
-    void reportsKeepWhatIsAFigure() {
+    void loadReportKeepsOnlyFiniteValues() {
         assertEquals(Map.of("x0", 12.0, "queue", 3.0), LoadReport.parse("x0:12;x1:noise;queue:3;:4;x;y:inf"));
         assertNull(LoadReport.parse(null));
         assertTrue(Double.isNaN(LoadReport.parseFinite("")) && Double.isNaN(LoadReport.parseFinite("NaN")));
