--- a/wire/src/main/java/spanrill/wire/box/BoxLink.java
+++ b/wire/src/main/java/spanrill/wire/box/BoxLink.java
@@ -35,7 +35,7 @@
     /** Header field: key of the attempt whose session this set-up continues, without spending the token again. */
     public static final String CONTINUES = "spanrill-continues";
     /**
-     * Response header field: reason why the box refused a set-up without examining it: {@code places}, {@code link},
+     * Response header field: reason why the box rejected a set-up before starting it: {@code places}, {@code link},
      * {@code draining} or {@code cold}.
      */
     public static final String REASON = "spanrill-reason";
--- a/wire/src/main/java/spanrill/wire/dash/Cmcd.java
+++ b/wire/src/main/java/spanrill/wire/dash/Cmcd.java
@@ -4,9 +4,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Common Media Client Data (CTA-5004) that a player sends with a request, in the query parameter {@code CMCD} or in the
- * {@code CMCD-*} header fields. Only keys that describe the state of playback are read; unknown keys and malformed values
- * are ignored, as section 3 requires of receivers.
+ * Common Media Client Data (CTA-5004) that a player sends with a request, in the query parameter {@code CMCD} or in
+ * the {@code CMCD-*} header fields. Only keys that describe the state of playback are read; unknown keys and
+ * malformed values are ignored, as section 3 requires of receivers.
  *
  * @param bufferMs buffer length ({@code bl}) in ms, or -1
  * @param throughputKbps measured throughput ({@code mtp}) in kbit/s, or -1
--- a/wire/src/main/java/spanrill/wire/dash/Mpd.java
+++ b/wire/src/main/java/spanrill/wire/dash/Mpd.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * The MPD of one session (ISO/IEC 23009-1, 5.3): one Period with an AdaptationSet of video, and one of audio if the title
- * has audio. The Representations of video switch by concatenation ({@code bitstreamSwitching}, 5.3.3.2) and share one
- * initialization segment.
+ * The MPD of one session (ISO/IEC 23009-1, 5.3): one Period with an AdaptationSet of video, and one of audio if the
+ * title has audio. The Representations of video switch by concatenation ({@code bitstreamSwitching}, 5.3.3.2) and
+ * share one initialization segment.
  *
  * @param durationMs duration of the presentation, in ms
  * @param minBufferMs minimum buffer of a player before it starts, in ms
  * @param location URL for updates of this MPD (5.15), or null
  * @param baseUrl base URL of the segments (5.6), or null
- * @param rungInForce the highest rung served now; told by a SupplementalProperty of the scheme {@link #RUNG_SCHEME}
+ * @param rungInForce highest rung served at present; written as a SupplementalProperty of scheme {@link #RUNG_SCHEME}
  * @param sets AdaptationSets, video first
  */
 public record Mpd(
@@ -45,7 +45,8 @@
      * @param lang language (BCP 47), or null
      * @param timeline segments, the same for all Representations
      * @param initialization path of the initialization segment
-     * @param media path template of the media segments, with {@code $RepresentationID$} and {@code $Number$} (5.3.9.4.4)
+     * @param media path template of the media segments, with {@code $RepresentationID$} and {@code $Number$}
+     *     (5.3.9.4.4)
      * @param representations Representations in increasing order of bandwidth
      */
     public record AdaptationSet(
--- a/wire/src/main/java/spanrill/wire/dash/MpdParser.java
+++ b/wire/src/main/java/spanrill/wire/dash/MpdParser.java
@@ -88,13 +88,13 @@
         while (xml.hasNext()) {
             int event = xml.next();
             if (event == XMLStreamConstants.DTD || event == XMLStreamConstants.ENTITY_REFERENCE) {
-                throw fault("document types and entities are not allowed");
+                throw invalidMpd("document types and entities are not allowed");
             } else if (event == XMLStreamConstants.START_ELEMENT) {
                 if (++depth > MAX_DEPTH) {
-                    throw fault("elements nest deeper than " + MAX_DEPTH);
+                    throw invalidMpd("elements nest deeper than " + MAX_DEPTH);
                 }
                 if (depth == 1 && (!xml.getLocalName().equals("MPD") || !NAMESPACE.equals(xml.getNamespaceURI()))) {
-                    throw fault("the root element is not MPD of namespace " + NAMESPACE);
+                    throw invalidMpd("the root element is not MPD of namespace " + NAMESPACE);
                 }
                 if (startElement(xml.getLocalName())) {
                     depth--;
@@ -114,7 +114,7 @@
         switch (name) {
             case "MPD" -> {
                 if (!"static".equals(attribute("type", "static"))) {
-                    throw fault("MPD@type must be static for a recorded title");
+                    throw invalidMpd("MPD@type must be static for a recorded title");
                 }
                 durationMs = durationAttribute("mediaPresentationDuration");
                 minBufferMs = durationAttribute("minBufferTime");
@@ -136,7 +136,7 @@
             case "SegmentTemplate" -> startSegmentTemplate();
             case "SegmentTimeline" -> {
                 if (currentSet().runs != null) {
-                    throw fault("an AdaptationSet has a second SegmentTimeline");
+                    throw invalidMpd("an AdaptationSet has a second SegmentTimeline");
                 }
                 set.runs = new ArrayList<>();
             }
@@ -149,14 +149,14 @@
 
     private AdaptationSetBuilder currentSet() throws InvalidMpdException {
         if (set == null) {
-            throw fault(xml.getLocalName() + " must be in an AdaptationSet");
+            throw invalidMpd(xml.getLocalName() + " must be in an AdaptationSet");
         }
         return set;
     }
 
     private void startAdaptationSet() throws InvalidMpdException {
         if (sets.size() >= MAX_ADAPTATION_SETS) {
-            throw fault("more than " + MAX_ADAPTATION_SETS + " AdaptationSets");
+            throw invalidMpd("more than " + MAX_ADAPTATION_SETS + " AdaptationSets");
         }
         set = new AdaptationSetBuilder();
         String content = attribute("contentType", attribute("mimeType", "").replaceAll("/.*", ""));
@@ -164,7 +164,7 @@
             set.content = candidate.value().equals(content) ? candidate : set.content;
         }
         if (set.content == null) {
-            throw fault("AdaptationSet@contentType must be video or audio");
+            throw invalidMpd("AdaptationSet@contentType must be video or audio");
         }
         set.lang = attribute("lang", null);
         sets.add(set);
@@ -172,7 +172,7 @@
 
     private void startSegmentTemplate() throws InvalidMpdException {
         if (currentSet().media != null) {
-            throw fault("an AdaptationSet has a second SegmentTemplate");
+            throw invalidMpd("an AdaptationSet has a second SegmentTemplate");
         }
         set.timescale =
                 xml.getAttributeValue(null, "timescale") == null ? 1 : numberAttribute("timescale", 1, 1_000_000_000);
@@ -180,34 +180,34 @@
             set.segmentMs = numberAttribute("duration", 1, Long.MAX_VALUE / 2000) * 1000 / set.timescale;
         }
         if (!"1".equals(attribute("startNumber", "1"))) {
-            throw fault("SegmentTemplate@startNumber must be 1");
+            throw invalidMpd("SegmentTemplate@startNumber must be 1");
         }
         set.initialization = attribute("initialization", null);
         set.media = attribute("media", "");
         if (!set.media.contains("$Number$")) {
-            throw fault("SegmentTemplate@media must contain $Number$");
+            throw invalidMpd("SegmentTemplate@media must contain $Number$");
         }
     }
 
     private void addRun() throws InvalidMpdException {
         if (currentSet().runs == null) {
-            throw fault("S must be in a SegmentTimeline");
+            throw invalidMpd("S must be in a SegmentTimeline");
         }
         if (set.runs.size() >= Timeline.MAX_RUNS) {
-            throw fault("more than " + Timeline.MAX_RUNS + " S elements");
+            throw invalidMpd("more than " + Timeline.MAX_RUNS + " S elements");
         }
         if (xml.getAttributeValue(null, "t") != null
                 && numberAttribute("t", 0, MAX_DURATION_MS) * 1000 / set.timescale != set.endMs) {
-            throw fault("S@t does not match the end of the previous segments");
+            throw invalidMpd("S@t does not match the end of the previous segments");
         }
         long lengthMs = numberAttribute("d", 1, MAX_DURATION_MS) * 1000 / set.timescale;
         long count = 1 + (xml.getAttributeValue(null, "r") == null ? 0 : numberAttribute("r", 0, MAX_SEGMENTS));
         if (lengthMs < 1) {
-            throw fault("S@d must be at least 1 ms");
+            throw invalidMpd("S@d must be at least 1 ms");
         }
         set.segmentCount += count;
         if (set.segmentCount > MAX_SEGMENTS || lengthMs > (MAX_DURATION_MS - set.endMs) / count) {
-            throw fault("the SegmentTimeline exceeds the maximum number or duration of segments");
+            throw invalidMpd("the SegmentTimeline exceeds the maximum number or duration of segments");
         }
         set.endMs += count * lengthMs;
         set.runs.add(new Timeline.Run((int) count, lengthMs));
@@ -215,11 +215,11 @@
 
     private void addRepresentation() throws InvalidMpdException {
         if (currentSet().representations.size() >= MAX_REPRESENTATIONS) {
-            throw fault("more than " + MAX_REPRESENTATIONS + " Representations");
+            throw invalidMpd("more than " + MAX_REPRESENTATIONS + " Representations");
         }
         String id = attribute("id", "");
         if (id.isEmpty() || !ids.add(id)) {
-            throw fault("Representation@id is missing or not unique");
+            throw invalidMpd("Representation@id is missing or not unique");
         }
         if (set.content == Mpd.Content.VIDEO) {
             numberAttribute("id", 0, 1000);
@@ -294,11 +294,11 @@
     private long numberAttribute(String name, long min, long max) throws InvalidMpdException {
         String value = xml.getAttributeValue(null, name);
         if (value == null || !value.matches("\\d{1,18}")) {
-            throw fault(xml.getLocalName() + "@" + name + " must be a whole number of 1 to 18 digits");
+            throw invalidMpd(xml.getLocalName() + "@" + name + " must be a whole number of 1 to 18 digits");
         }
         long number = Long.parseLong(value);
         if (number < min || number > max) {
-            throw fault(xml.getLocalName() + "@" + name + " must be from " + min + " to " + max);
+            throw invalidMpd(xml.getLocalName() + "@" + name + " must be from " + min + " to " + max);
         }
         return number;
     }
@@ -307,15 +307,15 @@
         try {
             Duration parsed = Duration.parse(attribute(name, ""));
             if (parsed.isNegative() || parsed.getSeconds() > MAX_DURATION_MS / 1000) {
-                throw fault("MPD@" + name + " is out of range");
+                throw invalidMpd("MPD@" + name + " is out of range");
             }
             return parsed.toMillis();
         } catch (DateTimeParseException e) {
-            throw fault("MPD@" + name + " is not a duration (ISO 8601)");
+            throw invalidMpd("MPD@" + name + " is not a duration (ISO 8601)");
         }
     }
 
-    private InvalidMpdException fault(String reason) {
+    private InvalidMpdException invalidMpd(String reason) {
         return new InvalidMpdException(xml.getLocation().getLineNumber(), reason);
     }
 }
--- a/wire/src/main/java/spanrill/wire/dash/MpdValidator.java
+++ b/wire/src/main/java/spanrill/wire/dash/MpdValidator.java
@@ -14,9 +14,10 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Checks an MPD against the schema and rules of ISO/IEC 23009-1 for recorded titles with template-based segments (profile
- * isoff-live, 8.4): the nesting and order of elements, the presence and form of attributes, and the consistency between
- * them. Unlike {@link MpdParser}, the validator continues after a finding and checks parts that this program does not use.
+ * Checks an MPD against the schema and rules of ISO/IEC 23009-1 for recorded titles with template-based segments
+ * (profile isoff-live, 8.4): the nesting and order of elements, the presence and form of attributes, and the
+ * consistency between them. Unlike {@link MpdParser}, the validator continues after a finding and checks parts that
+ * this program does not use.
  */
 public final class MpdValidator {
     private static final int MAX_FINDINGS = 50;
--- a/wire/src/main/java/spanrill/wire/dash/Timeline.java
+++ b/wire/src/main/java/spanrill/wire/dash/Timeline.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The segments of a presentation from its start without gaps, as runs of segments of the same duration (ISO/IEC 23009-1,
- * 5.3.9.6, with a timescale of 1000).
+ * The segments of a presentation from its start without gaps, as runs of segments of the same duration (ISO/IEC
+ * 23009-1, 5.3.9.6, with a timescale of 1000).
  *
  * @param runs runs in order of presentation
  */
--- a/wire/src/main/java/spanrill/wire/http/EventStreamParser.java
+++ b/wire/src/main/java/spanrill/wire/http/EventStreamParser.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * Parses server-sent events (WHATWG HTML, section 9.2.6) from the fragments of a body. An event that is truncated before
- * its blank line is never delivered. The size of lines and of event data is limited.
+ * Parses server-sent events (WHATWG HTML, section 9.2.6) from the fragments of a body. An event that is truncated
+ * before its blank line is never delivered. The size of lines and of event data is limited.
  */
 public final class EventStreamParser {
     /** Receives the parsed events. */
--- a/wire/src/main/java/spanrill/wire/http/HttpParser.java
+++ b/wire/src/main/java/spanrill/wire/http/HttpParser.java
@@ -4,10 +4,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Parses HTTP/1.1 messages (RFC 9112) from a stream that arrives in fragments of any size. Ambiguous input, which allows
- * request smuggling, is rejected and never repaired: a bare CR or LF, folded lines, space before a colon, a repeated
- * Content-Length or one next to Transfer-Encoding, and any coding but a single {@code chunked} (sections 2.2, 5.1, 5.2,
- * 6.1, 6.3 and 11.2). {@link HttpLimits} bounds the memory; body data is passed on as it arrives and not buffered.
+ * Parses HTTP/1.1 messages (RFC 9112) from a stream that arrives in fragments of any size. Ambiguous input, which
+ * allows request smuggling, is rejected and never repaired: a bare CR or LF, folded lines, space before a colon, a
+ * repeated Content-Length or one next to Transfer-Encoding, and any coding but a single {@code chunked} (sections
+ * 2.2, 5.1, 5.2, 6.1, 6.3 and 11.2). {@link HttpLimits} bounds the memory; body data is passed on as it arrives and
+ * not buffered.
  */
 public final class HttpParser {
     /** Kind of message that a parser expects. */
--- a/wire/src/main/java/spanrill/wire/platform/MessageDecoder.java
+++ b/wire/src/main/java/spanrill/wire/platform/MessageDecoder.java
@@ -24,10 +24,10 @@
         if (partial != null && partial.isReadable()) {
             while (in.isReadable() && partial.isReadable()) {
                 // Copies no more bytes than the buffered message needs, so that no byte is copied twice.
-                int needed = partial.readableBytes() < 2 ? 2 : 2 + length(partial);
+                int needed = partial.readableBytes() < 2 ? 2 : 2 + peekLength(partial);
                 int copied = Math.min(in.readableBytes(), needed - partial.readableBytes());
                 partial.writeBytes(in, copied);
-                if (!read(partial, sink)) {
+                if (!decodeNext(partial, sink)) {
                     return;
                 }
                 if (!partial.isReadable()) {
@@ -40,11 +40,11 @@
             }
         }
         while (in.isReadable()) {
-            int before = in.readerIndex();
-            if (!read(in, sink)) {
+            int startIndex = in.readerIndex();
+            if (!decodeNext(in, sink)) {
                 return;
             }
-            if (in.readerIndex() == before) {
+            if (in.readerIndex() == startIndex) {
                 partial = in.alloc().heapBuffer(Math.max(64, in.readableBytes()));
                 partial.writeBytes(in);
             }
@@ -64,7 +64,7 @@
         }
     }
 
-    private static int length(ByteBuf in) {
+    private static int peekLength(ByteBuf in) {
         int length = in.getUnsignedShort(in.readerIndex());
         if (length < Message.MIN_BYTES || length > Message.MAX_BYTES) {
             throw new MalformedFrameException("message length " + length + " is out of range");
@@ -73,11 +73,11 @@
     }
 
     /** Decodes one message if it is complete; returns false when the sink asks to stop. */
-    private static boolean read(ByteBuf in, Sink sink) {
+    private static boolean decodeNext(ByteBuf in, Sink sink) {
         if (in.readableBytes() < 2) {
             return true;
         }
-        int length = length(in);
+        int length = peekLength(in);
         if (in.readableBytes() < 2 + length) {
             return true;
         }
--- a/wire/src/test/java/spanrill/wire/platform/MessageDecoderTest.java
+++ b/wire/src/test/java/spanrill/wire/platform/MessageDecoderTest.java
@@ -159,7 +159,7 @@
         assertEquals(sent, decode(stream, offsets));
     }
 
-    /** Fuzz test: arbitrary bytes are decoded or rejected, independently of the fragments; nothing else is thrown. */
+    /** Fuzz test: arbitrary bytes are decoded or rejected, independently of the fragments. */
     @Property(tries = 2000, seed = "20261201")
     void arbitraryBytesAreDecodedOrRejected(
             @ForAll @Size(max = 80) byte[] randomBytes,
--- a/wire/src/test/java/spanrill/wire/platform/SetUpTest.java
+++ b/wire/src/test/java/spanrill/wire/platform/SetUpTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Guards against rejecting sessions that viewers hand over to a restarted front: the viewers await no answer, and the
-     * wait parameter need not be a number.
+     * Guards against rejecting sessions that viewers hand over to a restarted front: the viewers await no answer, and
+     * the wait parameter need not be a number.
      */
     @ParameterizedTest
     @ValueSource(strings = {"inf", "-1", "1e300", "later"})
