--- a/core/src/main/java/spanrill/Control.java
+++ b/core/src/main/java/spanrill/Control.java
@@ -16,219 +16,239 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of a front. The interface (settings, events, actions) is SessionControl.java.
+ * Decides placement, rungs and moves for one front. {@link SessionControl} defines its settings, events and actions.
  *
- * <p>In reading order: tuned values, state, events, choice of holder, set-up and its outcomes, the sweep
- * (rungs, then moves), health, cold pacing. The ordinary path is the paper's: the holder with the smallest
- * PI = J x SL + K x NS + H x FWI takes the session, the rung follows the room on the link, and a shortfall
- * CCQ that stays above SO = M x second-best PI moves it. All else is a guard with its own comment.
+ * <p>In reading order: constants, state, events, choice of holder, set-up and its outcomes, the sweep (rungs, then
+ * moves), server health, pacing of cold servers. A holder is a server whose cell stores the title.
+ *
+ * <p>The base algorithm is the paper's. The session is set up at the holder with the smallest placement index
+ * PI = J x SL + K x NS + H x FWI (link load, set-up delay, session weight). Its rung follows the free capacity of the
+ * link. A shortfall cost CCQ that stays above the threshold SO = M x second-smallest PI moves the session. Everything
+ * else is a safeguard, explained where it is implemented.
  */
 public final class Control implements SessionControl {
-    // The index. SL is a share of the link, so J = 1 makes one point of use the unit of PI.
-    private static final double J = 1;
-    // NS is set-up delay over the class's aim: a delay of a whole aim weighs as a fifth of a link.
-    private static final double K = 0.2;
-    // FWI is equal for all holders: it only raises SO a little for heavy sessions.
-    private static final double H = 0.02;
-    // CCQ is the worth lost to short delivery (missing share x stall); it must outweigh two full links.
-    private static final double M = 2.0;
-    // Shortfall is averaged over y; the excess must last z: notes are late and rungs are given time to help.
-    private static final double Y_MS = 3000;
-    private static final double Z_MS = 2000;
-    private static final double MOVE_EVERY_MS = 30_000;
-    // The rung rule: top rung up to the mark, one lower per step of use above it. Rates swing, figures lag.
-    private static final double MARK = 0.88;
-    private static final double STEP = 0.03;
-    private static final double MOST = 0.97;
-    private static final double RUNG_EVERY_MS = 10_000;
-    // Room wanted before playing sessions are stepped: less is noise. A mistaken step up is paid twice.
-    private static final double DOWN_SLACK = 0.03;
-    private static final double UP_SLACK = 0.075;
-    // Steps down are taken so much more often than if all followed: some are held or at their floor.
-    private static final double DOWN_GAIN = 2.5;
-    // Refusal is the step below the lowest rung: taken this far past the use that the floor's level allows.
-    private static final double REFUSE_SLACK = 0.015;
-    // Weight of a new figure against the old one kept up to date: single figures are noisy.
-    private static final double FIGURE_WEIGHT = 0.6;
-    // Reports that come with outcomes are about this late.
-    private static final double REPORT_LATE_MS = 600;
-    // A figure older than this counts as unheard (it fades into the average until then).
-    private static final double STALE_MS = 12_000;
-    // Guards against equal indexes that fall to one holder at every front: the unheard are drawn apart.
-    private static final double SPREAD = 0.1;
-    // Trust returns slowly: use seen above a full link fades from SL over this time.
-    private static final double SCAR_MS = 15_000;
-    // One attempt waits for this share of the class's aim where it may be sent again.
-    private static final double ATTEMPT_SHARE = 0.6;
-    // A server that failed is left alone for this long, doubling up to the longest.
-    private static final double AVOID_MS = 2000;
-    private static final double AVOID_MOST_MS = 16_000;
-    // A server is silent when its notes are this many intervals overdue while most others' go on.
-    private static final double SILENT_TELLS = 1.7;
-    private static final double OTHERS_HEARD = 0.6;
-    // Share of a cold server's budget that the fronts together may use.
-    private static final double COLD_SAFETY = 0.95;
-    // A restart may stay hidden this long, after this front's own start or a failure: it is listed soon.
-    private static final double HIDDEN_MS = 3000;
-    // A request waits for a cold server's next turn up to this share of its aim.
-    private static final double HOLD_SHARE = 0.7;
+    // Weight of link load (J in the paper). SL is a share of the link, so 1 makes a full link the unit of PI.
+    private static final double LOAD_WEIGHT = 1;
+    // Weight of set-up delay (K in the paper). NS is the delay divided by the class's aim, so a delay of one whole aim
+    // weighs as much as a fifth of a link.
+    private static final double SET_UP_DELAY_WEIGHT = 0.2;
+    // Weight of the session's rung (H in the paper). FWI is equal for all holders, so it only raises SO a little for
+    // heavy sessions.
+    private static final double RUNG_WEIGHT = 0.02;
+    // Factor of the move threshold (M in the paper). CCQ is the worth lost to short delivery (missing share x stall),
+    // which must outweigh two full links.
+    private static final double MOVE_THRESHOLD_FACTOR = 2.0;
+    // The shortfall is averaged over the first time (y in the paper). CCQ must exceed SO for the second (z) before a
+    // session moves: notes arrive late, and lower rungs need time to take effect.
+    private static final double SHORTFALL_AVERAGE_MS = 3000;
+    private static final double EXCESS_DURATION_MS = 2000;
+    private static final double MIN_MOVE_INTERVAL_MS = 30_000;
+    // The rung rule: the top rung is kept up to the target utilization, and one rung less for each step of utilization
+    // above it, up to the maximum. All stay below 1 because rates fluctuate and measurements lag.
+    private static final double TARGET_UTILIZATION = 0.88;
+    private static final double UTILIZATION_STEP = 0.03;
+    private static final double MAX_UTILIZATION = 0.97;
+    private static final double MIN_RUNG_INTERVAL_MS = 10_000;
+    // Margins of utilization that must be exceeded before the rung of a playing session changes: less is noise. The
+    // margin for steps up is larger, because a mistaken step up costs two changes.
+    private static final double STEP_DOWN_MARGIN = 0.03;
+    private static final double STEP_UP_MARGIN = 0.075;
+    // Factor on the probability of a step down: some sessions can't step, having just changed or being at their floor.
+    private static final double STEP_DOWN_GAIN = 2.5;
+    // Refusal is the step below the lowest rung: it begins this far above the utilization allowed for the floor rung.
+    private static final double REFUSAL_MARGIN = 0.015;
+    // Weight of a new measurement against the estimate, which own changes keep current: single measurements are noisy.
+    private static final double MEASUREMENT_WEIGHT = 0.6;
+    // Approximate age of the load reports that arrive with outcomes.
+    private static final double REPORT_AGE_MS = 600;
+    // An estimate older than this counts as unknown. Until then it fades into the average of all links.
+    private static final double ESTIMATE_EXPIRY_MS = 12_000;
+    // Largest random deduction from the index of a holder of unknown load: with equal indexes, all fronts would choose
+    // the same holder.
+    private static final double UNKNOWN_LOAD_SPREAD = 0.1;
+    // Utilization measured above a full link stays in SL as a penalty that falls to 0 over this time, so that an
+    // overloaded link is filled again only slowly.
+    private static final double OVERLOAD_PENALTY_DECAY_MS = 15_000;
+    // An attempt that may be retried elsewhere times out after this share of the class's aim.
+    private static final double ATTEMPT_TIMEOUT_SHARE = 0.6;
+    // A server that failed is avoided for this long, doubled with each further failure up to the maximum.
+    private static final double INITIAL_AVOID_MS = 2000;
+    private static final double MAX_AVOID_MS = 16_000;
+    // A server counts as silent when its notes are missing for this many intervals while at least this share of the
+    // other servers still sends notes.
+    private static final double SILENT_INTERVALS = 1.7;
+    private static final double MIN_REPORTING_SHARE = 0.6;
+    // Share of a cold server's set-up budget that all fronts together may use.
+    private static final double COLD_BUDGET_SHARE = 0.95;
+    // After this front's own start or a server's failure, a server may have restarted without the list showing it yet.
+    // The list shows a restart within this time.
+    private static final double UNLISTED_RESTART_MS = 3000;
+    // A request waits for the next permitted set-up at a cold server for up to this share of its aim.
+    private static final double MAX_WAIT_SHARE = 0.7;
     private static final double RETRY_AFTER_MS = 1000;
-    private static final double SWEEP_MS = 250;
-    // Answers are given this long before the viewer's time is up.
+    private static final double SWEEP_INTERVAL_MS = 250;
+    // Final answers are given this long before the viewer's deadline.
     private static final double ANSWER_MARGIN_MS = 20;
-    // Tenants' and fronts' arrival rates are averaged over this time.
-    private static final double RATE_MS = 10_000;
+    // Tenants' arrival rates are averaged over this time.
+    private static final double RATE_AVERAGE_MS = 10_000;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    private final Settings set;
-    private final Actions act;
+    private final Settings settings;
+    private final Actions actions;
     private final SplittableRandom random;
     private final Map<String, ServiceClass> classes = new HashMap<>();
     private final Map<String, Tenant> tenants = new HashMap<>();
-    private final Map<String, double[]> tenantRate = new HashMap<>();
+    private final Map<String, double[]> tenantRates = new HashMap<>();
     private final Map<String, Holder> holders = new LinkedHashMap<>();
     private final Map<Integer, List<Holder>> cells = new HashMap<>();
     private final Rack[] racks;
     private final Map<String, Session> sessions = new LinkedHashMap<>();
-    private final Map<String, Left> lefts = new HashMap<>();
-    private final ArrayDeque<Double> taken = new ArrayDeque<>();
-    private final ArrayDeque<Double> further = new ArrayDeque<>();
-    private final double ladderStep;
-    private double startedAt, average;
-
-    /** A link or an uplink: its last figure, and this front's changes which that cannot yet contain. */
-    private static final class Pool {
-        private double capacity = 1, own;
-        private double figure = Double.NaN, at;
-        private double scar, scarAt, downAt = NEVER;
-        private int news;
-        private final ArrayDeque<double[]> changes = new ArrayDeque<>();
-        // What since() summed up last, kept up as changes come: a front of thousands asks for it often.
-        private double sumFrom = Double.NaN, sum;
-
-        /** Notes a change of this front's load, and of the whole load where other fronts do alike. */
-        void change(double now, double kb, double all) {
-            own = Math.max(0, own + kb);
-            changes.add(new double[] {now, all});
-            sum += now > sumFrom ? all : 0;
-        }
-
-        private double since(double time) {
-            if (time != sumFrom) {
-                sumFrom = time;
-                sum = 0;
-                for (double[] change : changes) {
-                    sum += change[0] > time ? change[1] : 0;
+    private final Map<String, RecentMove> recentMoves = new HashMap<>();
+    private final ArrayDeque<Double> requestTimes = new ArrayDeque<>();
+    private final ArrayDeque<Double> retryTimes = new ArrayDeque<>();
+    private final double logWorthStep;
+    private double frontStartedAt, averageUtilization;
+
+    /** Estimated load of a link or an uplink: the last estimate, and this front's changes since that measurement. */
+    private static final class LinkLoad {
+        private double capacity = 1, ownKbPerS;
+        private double estimate = Double.NaN, estimateAt;
+        private double overload, overloadAt, steppedDownAt = NEVER;
+        private int updates;
+        private final ArrayDeque<double[]> recentChanges = new ArrayDeque<>();
+        // Cached result of changesSince(), updated with each change: a front with thousands of sessions needs it often.
+        private double sumSince = Double.NaN, changeSum;
+
+        /**
+         * Records a change of load.
+         *
+         * @param ownChange change of this front's load, kB a second
+         * @param totalChange expected change by all fronts, kB a second; larger where other fronts react alike
+         */
+        void addChange(double now, double ownChange, double totalChange) {
+            ownKbPerS = Math.max(0, ownKbPerS + ownChange);
+            recentChanges.add(new double[] {now, totalChange});
+            changeSum += now > sumSince ? totalChange : 0;
+        }
+
+        private double changesSince(double time) {
+            if (time != sumSince) {
+                sumSince = time;
+                changeSum = 0;
+                for (double[] change : recentChanges) {
+                    changeSum += change[0] > time ? change[1] : 0;
                 }
             }
-            return sum / capacity;
+            return changeSum / capacity;
         }
 
-        /** A figure measured at a time: the old one, kept up to date by own changes, is drawn towards it. */
-        void heard(double measured, double value, double weight) {
-            if (!Double.isFinite(value) || (!Double.isNaN(figure) && measured < at)) {
+        /** Moves the estimate, brought up to date with the changes since, towards a measurement of the utilization. */
+        void update(double measuredAt, double value, double weight) {
+            if (!Double.isFinite(value) || (!Double.isNaN(estimate) && measuredAt < estimateAt)) {
                 return;
             }
-            double old =
-                    Double.isNaN(figure) || measured - at > STALE_MS ? value : figure + since(at) - since(measured);
-            figure = Math.max(0, old + weight * (value - old));
-            at = measured;
-            news++;
-            changes.removeIf(change -> change[0] <= at);
-            sumFrom = Double.NaN;
-            if (value > 1 && value - 1 > scar(measured)) {
-                scar = value - 1;
-                scarAt = measured;
+            double current = Double.isNaN(estimate) || measuredAt - estimateAt > ESTIMATE_EXPIRY_MS
+                    ? value
+                    : estimate + changesSince(estimateAt) - changesSince(measuredAt);
+            estimate = Math.max(0, current + weight * (value - current));
+            estimateAt = measuredAt;
+            updates++;
+            recentChanges.removeIf(change -> change[0] <= estimateAt);
+            sumSince = Double.NaN;
+            if (value > 1 && value - 1 > overloadPenalty(measuredAt)) {
+                overload = value - 1;
+                overloadAt = measuredAt;
             }
         }
 
-        double scar(double now) {
-            return Math.max(0, scar * (1 - (now - scarAt) / SCAR_MS));
+        double overloadPenalty(double now) {
+            return Math.max(0, overload * (1 - (now - overloadAt) / OVERLOAD_PENALTY_DECAY_MS));
         }
 
-        boolean fresh(double now) {
-            return !Double.isNaN(figure) && now - at < STALE_MS;
+        boolean isFresh(double now) {
+            return !Double.isNaN(estimate) && now - estimateAt < ESTIMATE_EXPIRY_MS;
         }
 
-        double use(double now, double average) {
-            double age = Double.isNaN(figure) ? 1 : Math.min(1, (now - at) / STALE_MS);
-            double base = age == 1 ? average : figure * (1 - age * age) + average * age * age;
-            return Math.max(0, base + since(age == 1 ? now - STALE_MS : at));
+        double utilization(double now, double averageUtilization) {
+            double age = Double.isNaN(estimate) ? 1 : Math.min(1, (now - estimateAt) / ESTIMATE_EXPIRY_MS);
+            double blended =
+                    age == 1 ? averageUtilization : estimate * (1 - age * age) + averageUtilization * age * age;
+            return Math.max(0, blended + changesSince(age == 1 ? now - ESTIMATE_EXPIRY_MS : estimateAt));
         }
 
-        /** All that is asked over what this front asks: what each front corrects, all do in proportion. */
-        double factor(double use, int fronts) {
-            return Math.min(Math.max(use * capacity / Math.max(own, 1), 1), 2.0 * fronts);
+        /** Total load over this front's load: all fronts react to the same measurement in proportion to their load. */
+        double totalOverOwn(double utilization, int fronts) {
+            return Math.min(Math.max(utilization * capacity / Math.max(ownKbPerS, 1), 1), 2.0 * fronts);
         }
     }
 
     private static final class Rack {
-        private final Pool uplink = new Pool();
-        private double links;
+        private final LinkLoad uplink = new LinkLoad();
+        private double linkKbPerS;
     }
 
     private static final class Holder {
         private Server server;
         private Rack rack;
         private double places;
-        private final Pool link = new Pool();
+        private final LinkLoad link = new LinkLoad();
         private final Set<Session> playing = new LinkedHashSet<>();
-        private int out, failures;
-        private double delay = Double.NaN;
-        private double missing, missingMean, movedKb;
-        private double heardAt = NEVER, missingAt = NEVER, failedAt = NEVER;
-        private double avoidUntil = NEVER, fullUntil = NEVER, coldUntil = NEVER, coldFrom = NEVER;
-        private final ArrayDeque<Double> coldSends = new ArrayDeque<>();
+        private int pendingSetUps, failures;
+        private double setUpDelayMs = Double.NaN;
+        private double shortfall, meanShortfall, movedKbPerS;
+        private double lastContactAt = NEVER, shortfallAt = NEVER, failedAt = NEVER;
+        private double avoidUntil = NEVER, fullUntil = NEVER, coldUntil = NEVER, coldPacingFrom = NEVER;
+        private final ArrayDeque<Double> coldSendTimes = new ArrayDeque<>();
 
-        /** Counts what was heard of its link and uplink. */
-        int news() {
-            return link.news + rack.uplink.news;
+        /** Number of measurements of its link and uplink so far. */
+        int linkUpdates() {
+            return link.updates + rack.uplink.updates;
         }
     }
 
     private static final class Session {
         private final Request request;
         private final ServiceClass type;
-        private final double takenAt, deadline;
+        private final double receivedAt, deadline;
         private Holder holder;
-        private int rung, attempts, judged;
-        private double value, kb;
-        private boolean out, playing, waiting, mayHaveRun;
-        private double playingAt, overSince = Double.NaN;
-        private double changedAt = NEVER, movedAt = NEVER;
+        private int rung, attempts, evaluatedUpdates;
+        private double value, kbPerS;
+        private boolean settingUp, playing, waiting, mayHaveRun;
+        private double playingSince, excessSince = Double.NaN;
+        private double rungChangedAt = NEVER, movedAt = NEVER;
         private final Set<Holder> tried = new HashSet<>();
 
         Session(Request request, ServiceClass type, double now) {
             this.request = request;
             this.type = type;
-            takenAt = now;
+            receivedAt = now;
             deadline = now + request.leftMs();
         }
     }
 
-    /** What is remembered of a session on the move: the holder it left. */
-    private record Left(Holder holder, double at) {}
+    /** A recent move of a session: the holder it was moved off, and when. */
+    private record RecentMove(Holder from, double movedAt) {}
 
-    /** One front's decisions; randomness comes from the seed alone. */
+    /** Creates the module of one front. All random draws come from the seed. */
     public Control(Settings settings, long seed, Actions actions) {
-        set = settings;
-        act = actions;
+        this.settings = settings;
+        this.actions = actions;
         random = new SplittableRandom(seed);
-        settings.classes().forEach(c -> classes.put(c.name(), c));
-        settings.tenants().forEach(t -> tenants.put(t.name(), t));
+        settings.classes().forEach(type -> classes.put(type.name(), type));
+        settings.tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
         racks = new Rack[Math.max(1, settings.racks())];
         Arrays.setAll(racks, i -> new Rack());
         int top = settings.rungKb().size() - 1;
-        ladderStep = top < 2 ? 1 : Math.max(0.1, Math.log(stepWorth(1) / stepWorth(top)) / (top - 1));
+        logWorthStep = top < 2 ? 1 : Math.max(0.1, Math.log(stepWorthPerKb(1) / stepWorthPerKb(top)) / (top - 1));
     }
 
     // ---- events
 
     @Override
     public void start(double now) {
-        startedAt = now;
-        act.timer("sweep", SWEEP_MS * (0.2 + random.nextDouble()));
+        frontStartedAt = now;
+        actions.timer("sweep", SWEEP_INTERVAL_MS * (0.2 + random.nextDouble()));
     }
 
     @Override
@@ -236,64 +256,72 @@
         if (kind == ListKind.FAILED) {
             return;
         }
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Server server : list) {
-            named.add(server.id());
+            listedIds.add(server.id());
             Holder holder = holders.computeIfAbsent(server.id(), id -> new Holder());
-            double before = holder.server == null ? Double.NaN : holder.server.startedAt();
-            boolean first = holder.server == null;
+            double previousStartedAt = holder.server == null ? Double.NaN : holder.server.startedAt();
+            boolean isNew = holder.server == null;
             holder.server = server;
             holder.rack = racks[Math.floorMod(server.cell(), racks.length)];
-            double began = server.startedAt();
-            if (!Double.isNaN(began) && began != before) {
-                holder.coldUntil =
-                        Math.max(holder.coldUntil, began + set.rules().coldMs());
-                holder.coldFrom = now + random.nextDouble() * coldWindow(holder);
-                // A process that started anew carries nothing over: neither its figures nor its failures.
+            double serverStartedAt = server.startedAt();
+            if (!Double.isNaN(serverStartedAt) && serverStartedAt != previousStartedAt) {
+                holder.coldUntil = Math.max(
+                        holder.coldUntil, serverStartedAt + settings.rules().coldMs());
+                holder.coldPacingFrom = now + random.nextDouble() * coldWindowMs(holder);
+                // A restarted process keeps neither the load nor the failures of the one before.
                 holder.failures = 0;
                 holder.avoidUntil = NEVER;
-                holder.link.figure = Double.NaN;
-                holder.missing = 0;
-                holder.missingMean = 0;
+                holder.link.estimate = Double.NaN;
+                holder.shortfall = 0;
+                holder.meanShortfall = 0;
             }
-            if (first && now - startedAt < HIDDEN_MS) {
-                // Guards against a list kept from before this front's own start: any server may be cold.
-                holder.coldUntil = Math.max(holder.coldUntil, startedAt + HIDDEN_MS);
+            if (isNew && now - frontStartedAt < UNLISTED_RESTART_MS) {
+                // The list may have been kept from before this front's own start: any server on it may be cold.
+                holder.coldUntil = Math.max(holder.coldUntil, frontStartedAt + UNLISTED_RESTART_MS);
             }
         }
         for (Holder holder : holders.values()) {
-            Server s = holder.server;
-            if (kind != ListKind.CHANGES && !named.contains(s.id())) {
-                holder.server =
-                        new Server(s.id(), s.zone(), s.kind(), s.cell(), ServerState.GONE, s.weight(), s.startedAt());
+            Server server = holder.server;
+            if (kind != ListKind.CHANGES && !listedIds.contains(server.id())) {
+                holder.server = new Server(
+                        server.id(),
+                        server.zone(),
+                        server.kind(),
+                        server.cell(),
+                        ServerState.GONE,
+                        server.weight(),
+                        server.startedAt());
             }
         }
-        arrange();
+        updateTopology();
     }
 
-    /** Sorts the servers by cell and sets the capacity of links and uplinks from the settings. */
-    private void arrange() {
+    /** Groups the listed servers by cell and derives the capacities of links and uplinks from the settings. */
+    private void updateTopology() {
         cells.clear();
         List<Holder> listed = new ArrayList<>(holders.values());
         listed.removeIf(holder -> holder.server.state() == ServerState.GONE);
-        boolean even = listed.stream().mapToDouble(Control::weight).distinct().count() <= 1;
-        double places = listed.stream()
-                .mapToDouble(h -> placesOf(h.server.kind()))
+        boolean equalWeights =
+                listed.stream().mapToDouble(Control::weight).distinct().count() <= 1;
+        double meanPlaces = listed.stream()
+                .mapToDouble(holder -> placesOf(holder.server.kind()))
                 .average()
                 .orElse(1);
-        Arrays.stream(racks).forEach(rack -> rack.links = 0);
-        double total = 1;
+        Arrays.stream(racks).forEach(rack -> rack.linkKbPerS = 0);
+        double totalLinkKbPerS = 1;
         for (Holder holder : listed) {
-            cells.computeIfAbsent(holder.server.cell(), c -> new ArrayList<>()).add(holder);
+            cells.computeIfAbsent(holder.server.cell(), cell -> new ArrayList<>())
+                    .add(holder);
             holder.places = placesOf(holder.server.kind());
-            // Where the list gives no sizes, the places of its kind tell a server's size.
-            double size = weight(holder) * (even ? holder.places / places : 1);
-            holder.link.capacity = Math.max(1, size * set.weightKb());
-            holder.rack.links += holder.link.capacity;
-            total += holder.link.capacity;
+            // Where all listed weights are equal, the places of its kind give a server's size.
+            double size = weight(holder) * (equalWeights ? holder.places / meanPlaces : 1);
+            holder.link.capacity = Math.max(1, size * settings.weightKb());
+            holder.rack.linkKbPerS += holder.link.capacity;
+            totalLinkKbPerS += holder.link.capacity;
         }
         for (Rack rack : racks) {
-            rack.uplink.capacity = Math.max(1, rack.links * set.uplinkKb() * racks.length / total);
+            rack.uplink.capacity = Math.max(1, rack.linkKbPerS * settings.uplinkKb() * racks.length / totalLinkKbPerS);
         }
     }
 
@@ -303,33 +331,36 @@
     }
 
     private double placesOf(String kind) {
-        return set.kinds().stream()
-                .filter(k -> k.name().equals(kind))
+        return settings.kinds().stream()
+                .filter(candidate -> candidate.name().equals(kind))
                 .mapToDouble(Kind::places)
                 .findFirst()
-                .orElse(set.kinds().stream().mapToDouble(Kind::places).min().orElse(1));
+                .orElse(settings.kinds().stream()
+                        .mapToDouble(Kind::places)
+                        .min()
+                        .orElse(1));
     }
 
     @Override
     public void request(double now, Request request) {
-        Session session = take(now, request, request.returning() ? 0 : 1);
-        taken.add(now);
-        Left left = lefts.get(request.key());
-        if (request.moved() && left != null) {
-            session.movedAt = left.at;
-            session.tried.add(left.holder);
+        Session session = addSession(now, request, request.returning() ? 0 : 1);
+        requestTimes.add(now);
+        RecentMove lastMove = recentMoves.get(request.key());
+        if (request.moved() && lastMove != null) {
+            session.movedAt = lastMove.movedAt;
+            session.tried.add(lastMove.from);
         }
         if (session.type == null) {
-            giveUp(session);
+            refuseOrFail(session);
         } else {
-            place(now, session);
+            placeSession(now, session);
         }
     }
 
-    private Session take(double now, Request request, int asked) {
+    private Session addSession(double now, Request request, int newRequests) {
         Session session = new Session(request, classes.get(request.className()), now);
         if (session.type != null) {
-            session.value = session.type.worth() * tenantWorth(now, request, asked);
+            session.value = session.type.worth() * tenantWorth(now, request, newRequests);
             session.rung = session.type.floor();
         }
         sessions.put(request.id(), session);
@@ -337,29 +368,30 @@
     }
 
     /**
-     * Guards tenants' shares: sessions of one that asks beyond its quota count by what they earn. Only
-     * first tries count, not sessions taken over. Quotas may be rounded: their sum is split by share.
+     * Factor on the worth of a tenant's session, which protects the shares of other tenants: the part of its requests
+     * that exceeds its quota counts at the lower worth beyond the share. Only first tries count as requests, not
+     * sessions taken over. Single quotas may be rounded, so the sum of all quotas is split by share.
      */
-    private double tenantWorth(double now, Request request, int asked) {
+    private double tenantWorth(double now, Request request, int newRequests) {
         Tenant tenant = request.tenant() == null ? null : tenants.get(request.tenant());
-        double quota = set.tenants().stream()
+        double totalQuotaPerS = settings.tenants().stream()
                 .mapToDouble(Tenant::quotaPerS)
-                .filter(q -> q > 0)
+                .filter(quotaPerS -> quotaPerS > 0)
                 .sum();
-        if (tenant == null || quota == 0) {
+        if (tenant == null || totalQuotaPerS == 0) {
             return 1;
         }
-        double[] rate = tenantRate.computeIfAbsent(tenant.name(), n -> new double[] {0, now});
-        rate[0] = rate[0] * Math.exp((rate[1] - now) / RATE_MS) + asked;
+        double[] rate = tenantRates.computeIfAbsent(tenant.name(), n -> new double[] {0, now});
+        rate[0] = rate[0] * Math.exp((rate[1] - now) / RATE_AVERAGE_MS) + newRequests;
         rate[1] = now;
-        double perS = Math.max(1e-6, rate[0] * 1000 / RATE_MS * set.fronts());
-        double within = Math.min(1, tenant.share() * quota / perS);
-        return within + (1 - within) * set.overShareWorth();
+        double requestsPerS = Math.max(1e-6, rate[0] * 1000 / RATE_AVERAGE_MS * settings.fronts());
+        double withinQuota = Math.min(1, tenant.share() * totalQuotaPerS / requestsPerS);
+        return withinQuota + (1 - withinQuota) * settings.overShareWorth();
     }
 
     @Override
     public void takenOver(double now, Request request, String server) {
-        Session session = take(now, request, 0);
+        Session session = addSession(now, request, 0);
         Holder holder = holders.get(server);
         if (session.type == null || holder == null) {
             sessions.remove(session.request.id());
@@ -367,14 +399,14 @@
         }
         session.holder = holder;
         session.playing = true;
-        session.playingAt = now;
+        session.playingSince = now;
         session.attempts = 1;
         session.mayHaveRun = true;
-        session.kb = kb(session.type, session.rung);
+        session.kbPerS = kbPerS(session.type, session.rung);
         holder.playing.add(session);
-        load(now, holder, session.kb, 0);
-        holder.heardAt = now;
-        // A server that has sessions under way did not start just now.
+        addLoad(now, holder, session.kbPerS, 0);
+        holder.lastContactAt = now;
+        // A server with sessions under way has not just started.
         if (Double.isNaN(holder.server.startedAt())) {
             holder.coldUntil = NEVER;
         }
@@ -383,17 +415,17 @@
     @Override
     public void playing(double now, String id, String server, double tookMs) {
         Session session = sessions.get(id);
-        if (session == null || session.holder == null || !session.out) {
+        if (session == null || session.holder == null || !session.settingUp) {
             return;
         }
         Holder holder = session.holder;
-        session.out = false;
-        holder.out--;
+        session.settingUp = false;
+        holder.pendingSetUps--;
         session.playing = true;
-        session.playingAt = now;
+        session.playingSince = now;
         holder.playing.add(session);
-        holder.delay = Double.isNaN(holder.delay) ? tookMs : 0.7 * holder.delay + 0.3 * tookMs;
-        well(now, holder);
+        holder.setUpDelayMs = Double.isNaN(holder.setUpDelayMs) ? tookMs : 0.7 * holder.setUpDelayMs + 0.3 * tookMs;
+        recordSuccess(now, holder);
     }
 
     @Override
@@ -402,9 +434,9 @@
         Session session = sessions.get(id);
         if (kind == NoteKind.RUNG) {
             if (session != null && session.holder == holder && session.playing) {
-                double kb = kb(session.type, (int) value);
-                load(now, holder, kb - session.kb, 0);
-                session.kb = kb;
+                double kbPerS = kbPerS(session.type, (int) value);
+                addLoad(now, holder, kbPerS - session.kbPerS, 0);
+                session.kbPerS = kbPerS;
                 session.rung = (int) value;
             }
             return;
@@ -412,30 +444,35 @@
         if (holder == null) {
             return;
         }
-        // At set-up a note is fresh, later ones are see_ms late.
-        boolean atSetUp = session != null && session.playing && now - session.playingAt < set.seeMs() / 2;
-        double measured = now - (atSetUp ? 0 : set.seeMs());
-        if (measured > holder.failedAt) {
-            holder.heardAt = now;
+        // A note at set-up is current, later ones are seeMs old.
+        boolean atSetUp = session != null && session.playing && now - session.playingSince < settings.seeMs() / 2;
+        double measuredAt = now - (atSetUp ? 0 : settings.seeMs());
+        if (measuredAt > holder.failedAt) {
+            holder.lastContactAt = now;
             if (holder.failures > 0) {
-                well(now, holder);
+                recordSuccess(now, holder);
             }
         }
         switch (kind) {
             case DELIVERED -> {
-                holder.missing = value < 0.98 ? 1 - value : 0;
-                holder.missingAt = now;
+                holder.shortfall = value < 0.98 ? 1 - value : 0;
+                holder.shortfallAt = now;
                 if (value < 0.98) {
-                    // The shortfall is the link's or the uplink's: the fuller of the two is raised to it.
-                    // Guards against figures that stay out: an uplink unheard counts as full.
-                    Pool uplink = holder.rack.uplink;
-                    double known = now - uplink.at > 2 * set.tellMs() + set.seeMs() ? 1 : uplink.use(now, 0);
-                    Pool pool = holder.link.fresh(now) && known > holder.link.use(now, 0) ? uplink : holder.link;
-                    pool.heard(measured, Math.max(1 / Math.max(value, 0.2), pool.figure), FIGURE_WEIGHT);
+                    // The link or the uplink limits the delivery: the estimate of the fuller one is raised to match.
+                    // Measurements may fail to arrive, so an uplink without a recent one counts as full.
+                    LinkLoad uplink = holder.rack.uplink;
+                    double uplinkUtilization = now - uplink.estimateAt > 2 * settings.tellMs() + settings.seeMs()
+                            ? 1
+                            : uplink.utilization(now, 0);
+                    LinkLoad limiting = holder.link.isFresh(now) && uplinkUtilization > holder.link.utilization(now, 0)
+                            ? uplink
+                            : holder.link;
+                    limiting.update(
+                            measuredAt, Math.max(1 / Math.max(value, 0.2), limiting.estimate), MEASUREMENT_WEIGHT);
                 }
             }
-            case LINK_USE -> holder.link.heard(measured, value, FIGURE_WEIGHT);
-            default -> holder.rack.uplink.heard(measured, value, FIGURE_WEIGHT / 2);
+            case LINK_USE -> holder.link.update(measuredAt, value, MEASUREMENT_WEIGHT);
+            default -> holder.rack.uplink.update(measuredAt, value, MEASUREMENT_WEIGHT / 2);
         }
     }
 
@@ -444,35 +481,35 @@
         Session session = sessions.get(id);
         Holder holder = server == null ? null : holders.get(server);
         if (holder != null && load != null) {
-            holder.link.heard(now - REPORT_LATE_MS, load.link(), FIGURE_WEIGHT / 2);
-            holder.rack.uplink.heard(now - REPORT_LATE_MS, load.uplink(), FIGURE_WEIGHT / 3);
+            holder.link.update(now - REPORT_AGE_MS, load.link(), MEASUREMENT_WEIGHT / 2);
+            holder.rack.uplink.update(now - REPORT_AGE_MS, load.uplink(), MEASUREMENT_WEIGHT / 3);
         }
         if (holder != null) {
             switch (outcome) {
-                case OK -> well(now, holder);
-                case FULL -> holder.fullUntil = now + set.seeMs();
-                case TIMEOUT, CONNECT_FAILED, RESET, ERROR -> failed(now, holder);
+                case OK -> recordSuccess(now, holder);
+                case FULL -> holder.fullUntil = now + settings.seeMs();
+                case TIMEOUT, CONNECT_FAILED, RESET, ERROR -> recordFailure(now, holder);
                 default -> {}
             }
         }
         if (session == null) {
             return;
         }
-        boolean wasOut = session.out;
-        release(now, session);
+        boolean wasSettingUp = session.settingUp;
+        detach(now, session);
         if (closed) {
             sessions.remove(session.request.id());
             return;
         }
-        if (!wasOut) {
+        if (!wasSettingUp) {
             return;
         }
         session.mayHaveRun |= !outcome.neverRan();
         session.tried.add(holder);
         if (outcome == Outcome.MOOT || (session.mayHaveRun && session.type.once())) {
-            giveUp(session);
+            refuseOrFail(session);
         } else {
-            place(now, session);
+            placeSession(now, session);
         }
     }
 
@@ -480,7 +517,7 @@
     public void gone(double now, String id) {
         Session session = sessions.get(id);
         if (session != null) {
-            release(now, session);
+            detach(now, session);
             sessions.remove(session.request.id());
         }
     }
@@ -488,63 +525,64 @@
     @Override
     public void timer(double now, String token) {
         if (token.equals("sweep")) {
-            act.timer("sweep", SWEEP_MS);
+            actions.timer("sweep", SWEEP_INTERVAL_MS);
             sweep(now);
             return;
         }
         Session session = sessions.get(token);
         if (session != null && session.waiting) {
             session.waiting = false;
-            place(now, session);
+            placeSession(now, session);
         }
     }
 
     // ---- choice of holder
 
-    /** Sends the session to the holder with the smallest index, or gives its final answer. */
-    private void place(double now, Session session) {
+    /** Sends the session to the holder with the smallest index, waits for a cold one, or gives the final answer. */
+    private void placeSession(double now, Session session) {
         ServiceClass type = session.type;
         if (now > session.deadline - ANSWER_MARGIN_MS
-                || session.attempts >= set.maxAttempts()
-                || (session.attempts > 0 && !mayGoFurther(now))
-                || seatsTaken(session)) {
-            giveUp(session);
+                || session.attempts >= settings.maxAttempts()
+                || (session.attempts > 0 && !retryAllowed(now))
+                || allSeatsTaken(session)) {
+            refuseOrFail(session);
             return;
         }
         Holder best = null;
         double bestPi = Double.MAX_VALUE;
-        double turn = Double.MAX_VALUE;
-        average = averageUse(now);
+        double shortestWaitMs = Double.MAX_VALUE;
+        averageUtilization = computeAverageUtilization(now);
         for (Holder holder : holdersOf(session.request)) {
-            if (!usable(now, holder, session)) {
+            if (!isUsable(now, holder, session)) {
                 continue;
             }
-            double wait = coldWait(now, holder);
-            if (wait > 0) {
-                turn = Math.min(turn, wait);
+            double waitMs = coldWaitMs(now, holder);
+            if (waitMs > 0) {
+                shortestWaitMs = Math.min(shortestWaitMs, waitMs);
                 continue;
             }
-            double pi = index(now, holder, session) + (holder.link.fresh(now) ? 0 : -random.nextDouble() * SPREAD);
+            double pi = placementIndex(now, holder, session)
+                    + (holder.link.isFresh(now) ? 0 : -random.nextDouble() * UNKNOWN_LOAD_SPREAD);
             if (pi < bestPi) {
                 bestPi = pi;
                 best = holder;
             }
         }
         if (best == null) {
-            double until = Math.min(session.takenAt + HOLD_SHARE * type.aimMs(), session.deadline);
-            if (now + turn < until - ANSWER_MARGIN_MS) {
+            double waitUntil = Math.min(session.receivedAt + MAX_WAIT_SHARE * type.aimMs(), session.deadline);
+            if (now + shortestWaitMs < waitUntil - ANSWER_MARGIN_MS) {
                 session.waiting = true;
-                act.timer(session.request.id(), turn);
+                actions.timer(session.request.id(), shortestWaitMs);
             } else {
-                giveUp(session);
+                refuseOrFail(session);
             }
             return;
         }
-        double floorUse = use(now, best) + share(now, best, kb(type, type.floor()));
-        double bearable = allowed(level(session, type.floor())) + REFUSE_SLACK;
-        boolean heard = best.link.fresh(now) || best.rack.uplink.fresh(now);
-        if (heard && floorUse > bearable && !session.mayHaveRun && session.attempts == 0) {
-            giveUp(session);
+        double floorUtilization = utilization(now, best) + addedUtilization(now, best, kbPerS(type, type.floor()));
+        double refusalThreshold = allowedUtilization(stepsAboveTarget(session, type.floor())) + REFUSAL_MARGIN;
+        boolean loadKnown = best.link.isFresh(now) || best.rack.uplink.isFresh(now);
+        if (loadKnown && floorUtilization > refusalThreshold && !session.mayHaveRun && session.attempts == 0) {
+            refuseOrFail(session);
             return;
         }
         send(now, session, best);
@@ -552,66 +590,69 @@
 
     private List<Holder> holdersOf(Request request) {
         List<Holder> found = new ArrayList<>();
-        for (int i = 0; i < Math.min(request.copies(), set.cells()); i++) {
-            found.addAll(cells.getOrDefault(Math.floorMod(request.home() + i, set.cells()), List.of()));
+        for (int i = 0; i < Math.min(request.copies(), settings.cells()); i++) {
+            found.addAll(cells.getOrDefault(Math.floorMod(request.home() + i, settings.cells()), List.of()));
         }
         return found;
     }
 
-    /** PI of a holder for a session: load, set-up delay with the price of crossing zones, title weight. */
-    private double index(double now, Holder holder, Session session) {
-        double sl = use(now, holder)
-                + holder.link.scar(now)
-                + share(now, holder, kb(session.type, set.rungKb().size() / 2));
-        double delay = Double.isNaN(holder.delay) ? 0 : holder.delay / session.type.aimMs();
-        boolean crosses = set.zone() != null && !set.zone().equals(holder.server.zone());
-        double ns = delay + (crosses ? set.crossZonePrice() / K : 0);
-        double fwi = (double) session.rung / set.rungKb().size();
-        return J * sl + K * ns + H * fwi;
+    /** Placement index (PI) of a holder: load, set-up delay with the price of crossing zones, session weight. */
+    private double placementIndex(double now, Holder holder, Session session) {
+        double linkLoad = utilization(now, holder)
+                + holder.link.overloadPenalty(now)
+                + addedUtilization(
+                        now, holder, kbPerS(session.type, settings.rungKb().size() / 2));
+        double relativeDelay = Double.isNaN(holder.setUpDelayMs) ? 0 : holder.setUpDelayMs / session.type.aimMs();
+        boolean crossesZones = settings.zone() != null && !settings.zone().equals(holder.server.zone());
+        double setUpCost = relativeDelay + (crossesZones ? settings.crossZonePrice() / SET_UP_DELAY_WEIGHT : 0);
+        double sessionWeight = (double) session.rung / settings.rungKb().size();
+        return LOAD_WEIGHT * linkLoad + SET_UP_DELAY_WEIGHT * setUpCost + RUNG_WEIGHT * sessionWeight;
     }
 
-    /** Use of the tighter of link and uplink, as last heard and with own changes since. */
-    private double use(double now, Holder holder) {
-        return Math.max(holder.link.use(now, average), holder.rack.uplink.use(now, average));
+    /** Utilization of the fuller of link and uplink: the last estimate with the changes since. */
+    private double utilization(double now, Holder holder) {
+        return Math.max(
+                holder.link.utilization(now, averageUtilization),
+                holder.rack.uplink.utilization(now, averageUtilization));
     }
 
-    private double share(double now, Holder holder, double kb) {
-        double warmth = now < holder.coldUntil ? set.rules().coldShare() : 1;
-        return kb / Math.min(holder.link.capacity * warmth, holder.rack.uplink.capacity);
+    private double addedUtilization(double now, Holder holder, double kbPerS) {
+        double warmth = now < holder.coldUntil ? settings.rules().coldShare() : 1;
+        return kbPerS / Math.min(holder.link.capacity * warmth, holder.rack.uplink.capacity);
     }
 
-    private double averageUse(double now) {
+    private double computeAverageUtilization(double now) {
         double sum = 0;
-        int heard = 0;
+        int known = 0;
         for (Holder holder : holders.values()) {
-            if (holder.server.state() != ServerState.GONE && holder.link.fresh(now)) {
-                Pool uplink = holder.rack.uplink;
-                double above = uplink.fresh(now) ? uplink.use(now, average) : 0;
-                sum += Math.max(holder.link.use(now, average), above);
-                heard++;
+            if (holder.server.state() != ServerState.GONE && holder.link.isFresh(now)) {
+                LinkLoad uplink = holder.rack.uplink;
+                double uplinkUtilization = uplink.isFresh(now) ? uplink.utilization(now, averageUtilization) : 0;
+                sum += Math.max(holder.link.utilization(now, averageUtilization), uplinkUtilization);
+                known++;
             }
         }
-        return heard == 0 ? MARK : sum / heard;
+        return known == 0 ? TARGET_UTILIZATION : sum / known;
     }
 
-    private boolean usable(double now, Holder holder, Session session) {
+    private boolean isUsable(double now, Holder holder, Session session) {
         if (holder.server.state() != ServerState.READY
                 || session.tried.contains(holder)
                 || now < holder.fullUntil
                 || now < holder.avoidUntil) {
             return false;
         }
-        // A server that failed is tried again by one session at a time that may be sent elsewhere after.
-        return holder.failures == 0 || (holder.out == 0 && !session.type.once());
+        // A server that failed is probed with one session at a time, of a class that may be retried elsewhere.
+        return holder.failures == 0 || (holder.pendingSetUps == 0 && !session.type.once());
     }
 
-    private boolean seatsTaken(Session session) {
+    private boolean allSeatsTaken(Session session) {
         int seats = session.type.seats();
         if (seats == 0) {
             return false;
         }
         return sessions.values().stream()
-                        .filter(other -> (other.out || other.playing)
+                        .filter(other -> (other.settingUp || other.playing)
                                 && other.type == session.type
                                 && Objects.equals(other.request.title(), session.request.title()))
                         .count()
@@ -621,344 +662,364 @@
     // ---- set-up and its outcomes
 
     private void send(double now, Session session, Holder holder) {
-        int rung = rungFor(now, session, holder);
+        int rung = initialRung(now, session, holder);
         if (rung != session.type.floor() || session.attempts > 0) {
-            act.rate(session.request.id(), rung);
+            actions.rate(session.request.id(), rung);
         }
         session.rung = rung;
-        session.kb = kb(session.type, rung);
+        session.kbPerS = kbPerS(session.type, rung);
         session.holder = holder;
-        session.out = true;
-        holder.out++;
-        load(now, holder, session.kb, session.kb);
+        session.settingUp = true;
+        holder.pendingSetUps++;
+        addLoad(now, holder, session.kbPerS, session.kbPerS);
         if (session.attempts > 0) {
-            further.add(now);
+            retryTimes.add(now);
         }
         session.attempts++;
         if (now < holder.coldUntil || holder.failures > 0) {
-            holder.coldSends.add(now);
+            holder.coldSendTimes.add(now);
         }
-        // An attempt that may be sent again is given up early; one paid for has only this chance.
+        // An attempt that may be retried times out early. After a time-out, a session paid for at set-up can't be
+        // retried, so its attempt gets all the time that is left.
         double until = session.type.once()
                 ? session.deadline
-                : Math.min(session.deadline, now + ATTEMPT_SHARE * session.type.aimMs());
-        act.send(session.request.id(), until, holder.server.id());
+                : Math.min(session.deadline, now + ATTEMPT_TIMEOUT_SHARE * session.type.aimMs());
+        actions.send(session.request.id(), until, holder.server.id());
     }
 
-    private void giveUp(Session session) {
+    private void refuseOrFail(Session session) {
         sessions.remove(session.request.id());
         if (session.mayHaveRun && session.type.once()) {
-            act.fail(session.request.id());
+            actions.fail(session.request.id());
         } else {
-            act.refuse(session.request.id(), Math.min(RETRY_AFTER_MS, set.maxRetryAfterMs()));
+            actions.refuse(session.request.id(), Math.min(RETRY_AFTER_MS, settings.maxRetryAfterMs()));
         }
     }
 
-    /** Keeps the budget of further attempts, where one is stated. */
-    private boolean mayGoFurther(double now) {
-        Rules rules = set.rules();
+    /** Whether the budget of retries, if the settings state one, permits another. */
+    private boolean retryAllowed(double now) {
+        Rules rules = settings.rules();
         if (Double.isNaN(rules.attemptWindowMs())) {
             return true;
         }
-        trim(taken, now - rules.attemptWindowMs());
-        trim(further, now - rules.attemptWindowMs());
-        return further.size() + 1 <= rules.spareAttempts() + rules.attemptShare() * taken.size();
+        removeUntil(requestTimes, now - rules.attemptWindowMs());
+        removeUntil(retryTimes, now - rules.attemptWindowMs());
+        return retryTimes.size() + 1 <= rules.spareAttempts() + rules.attemptShare() * requestTimes.size();
     }
 
-    private static void trim(ArrayDeque<Double> times, double before) {
-        times.removeIf(time -> time <= before);
+    private static void removeUntil(ArrayDeque<Double> times, double until) {
+        times.removeIf(time -> time <= until);
     }
 
-    private void release(double now, Session session) {
+    private void detach(double now, Session session) {
         if (session.holder != null) {
-            session.holder.out -= session.out ? 1 : 0;
+            session.holder.pendingSetUps -= session.settingUp ? 1 : 0;
             session.holder.playing.remove(session);
-            load(now, session.holder, -session.kb, -session.kb);
+            addLoad(now, session.holder, -session.kbPerS, -session.kbPerS);
         }
         session.holder = null;
-        session.kb = 0;
-        session.out = false;
+        session.kbPerS = 0;
+        session.settingUp = false;
         session.playing = false;
     }
 
-    private static void load(double now, Holder holder, double kb, double all) {
-        holder.link.change(now, kb, all);
-        holder.rack.uplink.change(now, kb, all);
+    private static void addLoad(double now, Holder holder, double ownChange, double totalChange) {
+        holder.link.addChange(now, ownChange, totalChange);
+        holder.rack.uplink.addChange(now, ownChange, totalChange);
     }
 
     // ---- rungs
 
-    private double kb(ServiceClass type, int rung) {
-        return type.scale() * set.rungKb().get(rung);
+    private double kbPerS(ServiceClass type, int rung) {
+        return type.scale() * settings.rungKb().get(rung);
     }
 
-    /** Worth per kB of the step up to a rung of the ladder. */
-    private double stepWorth(int rung) {
-        return Math.max(1e-9, set.rungWorth().get(rung) - set.rungWorth().get(rung - 1))
-                / (set.rungKb().get(rung) - set.rungKb().get(rung - 1));
+    /** Worth gained for each kB a second by the step up to a rung of the ladder. */
+    private double stepWorthPerKb(int rung) {
+        return Math.max(
+                        1e-9,
+                        settings.rungWorth().get(rung) - settings.rungWorth().get(rung - 1))
+                / (settings.rungKb().get(rung) - settings.rungKb().get(rung - 1));
     }
 
-    /** Steps of use above the mark that a rung is worth keeping: by the worth per kB of the step up to it. */
-    private double level(Session session, int rung) {
+    /** Steps of utilization above the target up to which a rung is kept, by the worth of the step up to that rung. */
+    private double stepsAboveTarget(Session session, int rung) {
         int floor = session.type.floor();
         double worth = (rung > floor
-                        ? stepWorth(rung)
-                        : set.rungWorth().get(floor) / set.rungKb().get(floor))
+                        ? stepWorthPerKb(rung)
+                        : settings.rungWorth().get(floor) / settings.rungKb().get(floor))
                 * session.value
                 / session.type.scale();
-        return Math.max(0, Math.log(worth / stepWorth(set.rungKb().size() - 1)) / ladderStep);
+        return Math.max(0, Math.log(worth / stepWorthPerKb(settings.rungKb().size() - 1)) / logWorthStep);
     }
 
-    private int top(Session session) {
+    private int topRung(Session session) {
         return Math.max(
                 session.type.floor(),
                 Math.min(
                         session.request.top(),
-                        Math.min(session.type.top(), set.rungKb().size() - 1)));
+                        Math.min(session.type.top(), settings.rungKb().size() - 1)));
     }
 
-    /** The use up to which a level is kept: one step for each level above the mark, up to the most. */
-    private static double allowed(double level) {
-        return Math.min(MOST, MARK + STEP * level);
+    /** Utilization up to which a rung is kept, from its steps above the target. */
+    private static double allowedUtilization(double steps) {
+        return Math.min(MAX_UTILIZATION, TARGET_UTILIZATION + UTILIZATION_STEP * steps);
     }
 
-    /** The rung rule at set-up: the highest rung whose load still finds the use its steps allow. */
-    private int rungFor(double now, Session session, Holder holder) {
-        double use = use(now, holder) + holder.link.scar(now);
-        int rung = top(session);
+    /** The rung rule at set-up: the highest rung whose load keeps the utilization within what that rung allows. */
+    private int initialRung(double now, Session session, Holder holder) {
+        double utilization = utilization(now, holder) + holder.link.overloadPenalty(now);
+        int rung = topRung(session);
         while (rung > session.type.floor()
-                && use + share(now, holder, kb(session.type, rung)) > allowed(level(session, rung))) {
+                && utilization + addedUtilization(now, holder, kbPerS(session.type, rung))
+                        > allowedUtilization(stepsAboveTarget(session, rung))) {
             rung--;
         }
         return rung;
     }
 
-    /** Draws the sessions of a rack of which something new was heard to the rungs that their steps allow. */
-    private void restep(double now, List<Session> playing) {
-        List<Session> free = new ArrayList<>(playing);
-        free.removeIf(s -> now - s.changedAt < RUNG_EVERY_MS || s.judged == s.holder.news());
-        free.sort(Comparator.comparingDouble(s -> level(s, s.rung)));
-        for (Session s : free) {
-            if (s.rung <= s.type.floor()) {
+    /** Applies the rung rule to the sessions of a rack whose links were measured since their last evaluation. */
+    private void adjustRungs(double now, List<Session> playing) {
+        List<Session> adjustable = new ArrayList<>(playing);
+        adjustable.removeIf(session -> now - session.rungChangedAt < MIN_RUNG_INTERVAL_MS
+                || session.evaluatedUpdates == session.holder.linkUpdates());
+        adjustable.sort(Comparator.comparingDouble(session -> stepsAboveTarget(session, session.rung)));
+        for (Session session : adjustable) {
+            if (session.rung <= session.type.floor()) {
                 break;
             }
-            step(now, s, false);
-        }
-        Collections.reverse(free);
-        for (Session s : free) {
-            Pool link = s.holder.link;
-            Pool uplink = s.holder.rack.uplink;
-            s.judged = s.holder.news();
-            // Guards against see-saws: room just made by steps down is not given away again at once.
-            boolean held = now - Math.max(s.changedAt, Math.max(link.downAt, uplink.downAt)) < RUNG_EVERY_MS;
-            if (!held
-                    && now - s.playingAt >= set.seeMs()
-                    && link.fresh(now)
-                    && uplink.fresh(now)
-                    && s.holder.failures == 0
-                    && s.holder.server.state() == ServerState.READY) {
-                step(now, s, true);
+            adjustRung(now, session, false);
+        }
+        Collections.reverse(adjustable);
+        for (Session session : adjustable) {
+            LinkLoad link = session.holder.link;
+            LinkLoad uplink = session.holder.rack.uplink;
+            session.evaluatedUpdates = session.holder.linkUpdates();
+            // Capacity that steps down have just freed is not used for steps up at once, to prevent oscillation.
+            boolean recentlyStepped =
+                    now - Math.max(session.rungChangedAt, Math.max(link.steppedDownAt, uplink.steppedDownAt))
+                            < MIN_RUNG_INTERVAL_MS;
+            if (!recentlyStepped
+                    && now - session.playingSince >= settings.seeMs()
+                    && link.isFresh(now)
+                    && uplink.isFresh(now)
+                    && session.holder.failures == 0
+                    && session.holder.server.state() == ServerState.READY) {
+                adjustRung(now, session, true);
             }
         }
     }
 
     /**
-     * The highest rung whose load, corrected alike by all that heard the same, keeps the use its steps allow.
-     * Where the last step is too coarse it is taken by chance, so that the sum over all sessions is right.
+     * Sets the highest rung that keeps the utilization within what it allows, if all fronts that know the same
+     * measurement react alike. Where a whole step is too coarse, the upper rung is drawn at random, with a probability
+     * that makes the expected sum over all sessions right.
      */
-    private void step(double now, Session s, boolean up) {
-        int rung = up ? top(s) : s.rung;
-        int last = up ? s.rung : s.type.floor();
-        double slack = up ? UP_SLACK + s.holder.link.scar(now) : -DOWN_SLACK;
-        double part = 0;
-        while (rung > last && part <= 0) {
-            double over = excess(now, s, rung);
-            double step = over - excess(now, s, rung - 1);
-            part = Math.min(1, 1 - (up ? 1 : DOWN_GAIN) * (over + slack) / step);
+    private void adjustRung(double now, Session session, boolean up) {
+        int rung = up ? topRung(session) : session.rung;
+        int lowestRung = up ? session.rung : session.type.floor();
+        double margin = up ? STEP_UP_MARGIN + session.holder.link.overloadPenalty(now) : -STEP_DOWN_MARGIN;
+        double probability = 0;
+        while (rung > lowestRung && probability <= 0) {
+            double excess = excessUtilization(now, session, rung);
+            double stepUtilization = excess - excessUtilization(now, session, rung - 1);
+            probability = Math.min(1, 1 - (up ? 1 : STEP_DOWN_GAIN) * (excess + margin) / stepUtilization);
             rung--;
         }
-        if (part <= 0 && (up || s.rung == last)) {
+        if (probability <= 0 && (up || session.rung == lowestRung)) {
             return;
         }
-        // The rung below is taken at least; what all fronts together take of the step above it is expected.
-        double above = part <= 0 ? 0 : kb(s.type, rung + 1) - kb(s.type, rung);
-        double expected = kb(s.type, rung) + part * above - s.kb;
-        int chosen = part > 0 && random.nextDouble() < part ? rung + 1 : rung;
-        double kb = kb(s.type, chosen) - s.kb;
-        for (Pool pool : List.of(s.holder.link, s.holder.rack.uplink)) {
-            pool.change(now, kb, expected * pool.factor(pool.use(now, average), set.fronts()));
-            pool.downAt = chosen < s.rung ? now : pool.downAt;
-        }
-        if (chosen != s.rung) {
-            s.kb += kb;
-            s.rung = chosen;
-            s.changedAt = now;
-            act.rate(s.request.id(), chosen);
+        // The session gets the lower rung or, by the draw, the one above. For the sum over all fronts the mean counts.
+        double stepKbPerS = probability <= 0 ? 0 : kbPerS(session.type, rung + 1) - kbPerS(session.type, rung);
+        double expectedChange = kbPerS(session.type, rung) + probability * stepKbPerS - session.kbPerS;
+        int chosenRung = probability > 0 && random.nextDouble() < probability ? rung + 1 : rung;
+        double ownChange = kbPerS(session.type, chosenRung) - session.kbPerS;
+        for (LinkLoad load : List.of(session.holder.link, session.holder.rack.uplink)) {
+            load.addChange(
+                    now,
+                    ownChange,
+                    expectedChange * load.totalOverOwn(load.utilization(now, averageUtilization), settings.fronts()));
+            load.steppedDownAt = chosenRung < session.rung ? now : load.steppedDownAt;
+        }
+        if (chosenRung != session.rung) {
+            session.kbPerS += ownChange;
+            session.rung = chosenRung;
+            session.rungChangedAt = now;
+            actions.rate(session.request.id(), chosenRung);
         }
     }
 
-    /** How far the fuller of link and uplink would be past the use allowed, were this session at a rung. */
-    private double excess(double now, Session s, int rung) {
-        double most = 0;
-        for (Pool pool : List.of(s.holder.link, s.holder.rack.uplink)) {
-            double use = pool.use(now, average);
-            double more = (kb(s.type, rung) - s.kb) * pool.factor(use, set.fronts()) / pool.capacity;
-            most = Math.max(most, pool.fresh(now) ? use + more : 0);
-        }
-        return most - allowed(level(s, rung));
+    /** How far the fuller of link and uplink would exceed the allowed utilization with this session at a rung. */
+    private double excessUtilization(double now, Session session, int rung) {
+        double maxUtilization = 0;
+        for (LinkLoad load : List.of(session.holder.link, session.holder.rack.uplink)) {
+            double utilization = load.utilization(now, averageUtilization);
+            double added = (kbPerS(session.type, rung) - session.kbPerS)
+                    * load.totalOverOwn(utilization, settings.fronts())
+                    / load.capacity;
+            maxUtilization = Math.max(maxUtilization, load.isFresh(now) ? utilization + added : 0);
+        }
+        return maxUtilization - allowedUtilization(stepsAboveTarget(session, rung));
     }
 
     // ---- the sweep: rungs first, then moves
 
     private void sweep(double now) {
-        average = averageUse(now);
+        averageUtilization = computeAverageUtilization(now);
         Map<Rack, List<Session>> byRack = new LinkedHashMap<>();
         for (Holder holder : holders.values()) {
             if (!holder.playing.isEmpty()) {
                 byRack.computeIfAbsent(holder.rack, r -> new ArrayList<>()).addAll(holder.playing);
             }
         }
-        byRack.values().forEach(playing -> restep(now, playing));
+        byRack.values().forEach(playing -> adjustRungs(now, playing));
         for (Holder holder : holders.values()) {
-            watch(now, holder);
-            moves(now, holder);
+            updateShortfall(now, holder);
+            moveSessions(now, holder);
         }
-        lefts.values().removeIf(left -> now - left.at > MOVE_EVERY_MS);
+        recentMoves.values().removeIf(move -> now - move.movedAt > MIN_MOVE_INTERVAL_MS);
     }
 
-    /** Keeps the shortfall of a holder averaged over y; a silent or leaving server delivers nothing. */
-    private void watch(double now, Holder holder) {
-        if (silent(now, holder)) {
-            failed(now, holder);
-        }
-        double missing = now - holder.missingAt < 2500 ? holder.missing : 0;
-        boolean lost = holder.server.state() != ServerState.READY
-                || (holder.failures > 0 && now - holder.heardAt > SILENT_TELLS * set.tellMs() + set.seeMs());
-        double part = SWEEP_MS / Y_MS;
-        holder.missingMean += part * ((lost ? 1 : missing) - holder.missingMean);
-        holder.movedKb *= 1 - SWEEP_MS / (Y_MS + Z_MS);
+    /** Updates the averaged shortfall of a holder. A server that is silent, draining or gone delivers nothing. */
+    private void updateShortfall(double now, Holder holder) {
+        if (isSilent(now, holder)) {
+            recordFailure(now, holder);
+        }
+        double shortfall = now - holder.shortfallAt < 2500 ? holder.shortfall : 0;
+        boolean deliversNothing = holder.server.state() != ServerState.READY
+                || (holder.failures > 0
+                        && now - holder.lastContactAt > SILENT_INTERVALS * settings.tellMs() + settings.seeMs());
+        double smoothing = SWEEP_INTERVAL_MS / SHORTFALL_AVERAGE_MS;
+        holder.meanShortfall += smoothing * ((deliversNothing ? 1 : shortfall) - holder.meanShortfall);
+        holder.movedKbPerS *= 1 - SWEEP_INTERVAL_MS / (SHORTFALL_AVERAGE_MS + EXCESS_DURATION_MS);
     }
 
-    private void moves(double now, Holder holder) {
-        double ccq = set.stall() * holder.missingMean;
-        if (ccq <= 0) {
-            // No index is below 0, so none of its sessions can be over SO.
-            holder.playing.forEach(session -> session.overSince = Double.NaN);
+    private void moveSessions(double now, Holder holder) {
+        double shortfallCost = settings.stall() * holder.meanShortfall;
+        if (shortfallCost <= 0) {
+            // No index is below 0, so CCQ can't exceed SO for any of its sessions.
+            holder.playing.forEach(session -> session.excessSince = Double.NaN);
             return;
         }
-        double clears = holder.missingMean * holder.link.own;
+        double shortfallKbPerS = holder.meanShortfall * holder.link.ownKbPerS;
         for (Session session : new ArrayList<>(holder.playing)) {
-            if (now - session.playingAt < Y_MS || now - session.movedAt < MOVE_EVERY_MS) {
+            if (now - session.playingSince < SHORTFALL_AVERAGE_MS || now - session.movedAt < MIN_MOVE_INTERVAL_MS) {
                 continue;
             }
             List<Holder> others = holdersOf(session.request);
-            others.removeIf(o -> o != holder && (!usable(now, o, session) || coldWait(now, o) > 0));
-            others.sort(Comparator.comparingDouble(o -> index(now, o, session)));
-            Holder target = others.stream().filter(o -> o != holder).findFirst().orElse(null);
-            if (target == null || ccq <= M * index(now, others.get(Math.min(1, others.size() - 1)), session)) {
-                session.overSince = Double.NaN;
+            others.removeIf(other -> other != holder && (!isUsable(now, other, session) || coldWaitMs(now, other) > 0));
+            others.sort(Comparator.comparingDouble(other -> placementIndex(now, other, session)));
+            Holder target =
+                    others.stream().filter(other -> other != holder).findFirst().orElse(null);
+            if (target == null
+                    || shortfallCost
+                            <= MOVE_THRESHOLD_FACTOR
+                                    * placementIndex(now, others.get(Math.min(1, others.size() - 1)), session)) {
+                session.excessSince = Double.NaN;
                 continue;
             }
-            if (Double.isNaN(session.overSince)) {
-                session.overSince = now + random.nextDouble() * Z_MS / 2;
+            if (Double.isNaN(session.excessSince)) {
+                session.excessSince = now + random.nextDouble() * EXCESS_DURATION_MS / 2;
             }
-            double floorUse = use(now, target)
-                    + target.link.scar(now)
-                    + share(now, target, kb(session.type, session.type.floor()));
-            if (now - session.overSince < Z_MS || holder.movedKb >= clears || floorUse > MARK) {
+            double floorUtilization = utilization(now, target)
+                    + target.link.overloadPenalty(now)
+                    + addedUtilization(now, target, kbPerS(session.type, session.type.floor()));
+            if (now - session.excessSince < EXCESS_DURATION_MS
+                    || holder.movedKbPerS >= shortfallKbPerS
+                    || floorUtilization > TARGET_UTILIZATION) {
                 continue;
             }
-            holder.movedKb += session.kb;
+            holder.movedKbPerS += session.kbPerS;
             session.movedAt = now;
-            lefts.put(session.request.key(), new Left(holder, now));
-            act.move(session.request.id());
+            recentMoves.put(session.request.key(), new RecentMove(holder, now));
+            actions.move(session.request.id());
         }
     }
 
     // ---- health
 
-    /** A server failed an attempt, lost a session or fell silent: it is left alone, then tried by one. */
-    private void failed(double now, Holder holder) {
-        if (now - holder.failedAt > set.seeMs() || holder.failures == 0) {
+    /** A server failed an attempt, lost a session or is silent: it is avoided, then probed with one session. */
+    private void recordFailure(double now, Holder holder) {
+        if (now - holder.failedAt > settings.seeMs() || holder.failures == 0) {
             holder.failures++;
-            double avoid = Math.min(AVOID_MOST_MS, AVOID_MS * Math.pow(2, holder.failures - 1.0));
-            holder.avoidUntil = now + avoid * (0.8 + 0.4 * random.nextDouble());
+            double avoidMs = Math.min(MAX_AVOID_MS, INITIAL_AVOID_MS * Math.pow(2, holder.failures - 1.0));
+            holder.avoidUntil = now + avoidMs * (0.8 + 0.4 * random.nextDouble());
             if (holder.failures == 1) {
-                act.log("avoiding " + holder.server.id());
+                actions.log("avoiding " + holder.server.id());
             }
         }
         holder.failedAt = now;
     }
 
     /**
-     * A server showed itself well. After a failure it may have started anew, which the list soon tells, but
-     * not where a session from before goes on: then only an answer was lost.
+     * A server proved to be working. After a failure it may have restarted, which the list does not show at once, so
+     * it counts as cold. A session that plays on from before the failure excludes this: then only an answer was lost.
      */
-    private void well(double now, Holder holder) {
+    private void recordSuccess(double now, Holder holder) {
         if (holder.failures > 0) {
-            if (holder.playing.isEmpty() || holder.playing.iterator().next().playingAt >= holder.failedAt) {
-                holder.coldUntil = Math.max(holder.coldUntil, now + HIDDEN_MS);
+            if (holder.playing.isEmpty() || holder.playing.iterator().next().playingSince >= holder.failedAt) {
+                holder.coldUntil = Math.max(holder.coldUntil, now + UNLISTED_RESTART_MS);
             }
-            act.log("trusting " + holder.server.id());
+            actions.log("trusting " + holder.server.id());
         }
         holder.failures = 0;
         holder.avoidUntil = NEVER;
-        holder.heardAt = now;
+        holder.lastContactAt = now;
     }
 
-    /** Guards against servers that vanish: notes due stay out while most other servers' go on. */
-    private boolean silent(double now, Holder holder) {
-        if (set.tellMs() <= 0 || holder.failures > 0 || holder.playing.isEmpty()) {
+    /** Detects servers that vanish: their notes are overdue while most other servers still send theirs. */
+    private boolean isSilent(double now, Holder holder) {
+        if (settings.tellMs() <= 0 || holder.failures > 0 || holder.playing.isEmpty()) {
             return false;
         }
-        double oldest = holder.playing.iterator().next().playingAt;
-        double due = SILENT_TELLS * set.tellMs() + set.seeMs();
-        if (now - Math.max(oldest, holder.heardAt) < due) {
+        double oldestPlayingSince = holder.playing.iterator().next().playingSince;
+        double overdueMs = SILENT_INTERVALS * settings.tellMs() + settings.seeMs();
+        if (now - Math.max(oldestPlayingSince, holder.lastContactAt) < overdueMs) {
             return false;
         }
         int others = 0;
-        int heard = 0;
+        int reporting = 0;
         for (Holder other : holders.values()) {
             if (other != holder && !other.playing.isEmpty() && other.failures == 0) {
                 others++;
-                heard += now - other.heardAt < set.tellMs() ? 1 : 0;
+                reporting += now - other.lastContactAt < settings.tellMs() ? 1 : 0;
             }
         }
-        return others > 1 && heard >= OTHERS_HEARD * others;
+        return others > 1 && reporting >= MIN_REPORTING_SHARE * others;
     }
 
     // ---- cold pacing
 
     /**
-     * Guards cold servers: the time until this front may send one its next set-up. The fronts share the
-     * budget with no word between them: each keeps a fixed part of any window, and where a part is less than
-     * one set-up the window is longer and begins anywhere in the first.
+     * Time until this front may send a cold server its next set-up. The fronts share the server's budget without
+     * communicating: each uses a fixed part of it within any window. Where that part is less than one set-up, the
+     * window is longer, and its start is drawn at random within the first window.
      */
-    private double coldWait(double now, Holder holder) {
+    private double coldWaitMs(double now, Holder holder) {
         if (now >= holder.coldUntil && holder.failures == 0) {
             return 0;
         }
-        double window = coldWindow(holder);
-        trim(holder.coldSends, now - window);
-        if (holder.coldSends.size() < Math.max(1, (int) coldPart(holder))) {
-            return Math.max(0, holder.coldFrom - now);
+        double windowMs = coldWindowMs(holder);
+        removeUntil(holder.coldSendTimes, now - windowMs);
+        if (holder.coldSendTimes.size() < Math.max(1, (int) coldSetUpsPerWindow(holder))) {
+            return Math.max(0, holder.coldPacingFrom - now);
         }
-        return Math.max(1, holder.coldSends.peek() + window - now);
+        return Math.max(1, holder.coldSendTimes.peek() + windowMs - now);
     }
 
-    /** This front's part of the set-ups that a cold server bears within the time stated. */
-    private double coldPart(Holder holder) {
-        Rules rules = set.rules();
-        return COLD_SAFETY
+    /** This front's part of the set-ups that a cold server can take within {@code fallMs}. */
+    private double coldSetUpsPerWindow(Holder holder) {
+        Rules rules = settings.rules();
+        return COLD_BUDGET_SHARE
                 * rules.fallMultiple()
                 * rules.coldShare()
                 * placesOf(holder.server.kind())
                 / rules.coldMs()
                 * rules.fallMs()
-                / Math.max(1, set.fronts());
+                / Math.max(1, settings.fronts());
     }
 
-    private double coldWindow(Holder holder) {
-        return set.rules().fallMs() / Math.min(1, coldPart(holder));
+    private double coldWindowMs(Holder holder) {
+        return settings.rules().fallMs() / Math.min(1, coldSetUpsPerWindow(holder));
     }
 }
--- a/core/src/main/java/spanrill/SessionControl.java
+++ b/core/src/main/java/spanrill/SessionControl.java
@@ -3,33 +3,33 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: the settings it starts with, the events a front tells it, and
- * the actions it asks of the front. One object decides for one front.
+ * The whole interface of the decision module: the settings it starts with, the events a front reports to it, and the
+ * actions it requests from the front. One instance decides for one front.
  *
- * <p>All times are milliseconds on the front's own clock, which only advances; every event carries the time
- * at which it is told. Events are told one after the other, never from two threads at once. Actions are
- * called from within the event methods and take effect at once. A figure that is not known is
- * {@link Double#NaN}, a text that is not known is null. The module keeps no thread and no clock of its own.
+ * <p>All times are milliseconds on the front's own clock, which only advances. Every event carries the time of its
+ * call. Events are reported one after the other, never from two threads at once. Actions are called from within the
+ * event methods and take effect at once. An unknown number is {@link Double#NaN}, an unknown text is null. The module
+ * has no thread and no clock of its own.
  */
 public interface SessionControl {
 
-    /** What an attempt came to, and whether that proves that the server never ran it. */
+    /** Outcome of an attempt, and whether it proves that the server never ran the attempt. */
     enum Outcome {
-        /** The session was served to its end. */
+        /** The session was served until it ended normally. */
         OK(false),
         /** The server returned an error. */
         ERROR(false),
-        /** Turned away unseen: no place left, link full, or draining. */
+        /** The server rejected the attempt without processing it: no free place, full link, draining or cold. */
         FULL(true),
-        /** No answer in time; it may still run. */
+        /** No answer in time. The attempt may still run. */
         TIMEOUT(false),
-        /** No connection could be had. */
+        /** No connection could be established. */
         CONNECT_FAILED(true),
         /** The connection or the server was lost. */
         RESET(false),
-        /** Called off: moved, or the viewer left. */
+        /** The front cancelled the attempt: the session moves, or its viewer left. */
         CANCELLED(false),
-        /** Never issued. */
+        /** The attempt was never sent. */
         MOOT(true);
 
         private final boolean neverRan;
@@ -38,20 +38,23 @@
             this.neverRan = neverRan;
         }
 
-        /** True when this outcome proves that the attempt never ran. */
+        /** Whether this outcome proves that the attempt never ran. */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
-    /** What the list says of a server. */
+    /** State of a server in the server list. */
     enum ServerState {
         READY,
         DRAINING,
         GONE
     }
 
-    /** What kind of list came: changes only, the whole, the whole as last kept, or none (a failed call). */
+    /**
+     * Kind of a server list: only the changes, the complete list, the complete list as last stored by this front, or
+     * none because the call failed.
+     */
     enum ListKind {
         CHANGES,
         WHOLE,
@@ -59,29 +62,29 @@
         FAILED
     }
 
-    /** What a note about a playing session tells. */
+    /** What the value of a note about a playing session means. */
     enum NoteKind {
-        /** The share of its rate that is delivered at its server, late and smoothed. */
+        /** Share of the session's rate that its server delivers, smoothed and late. */
         DELIVERED,
-        /** The rung in force of a session taken over. */
+        /** Current rung of a session that was taken over. */
         RUNG,
-        /** What is asked of the server's link over what it gives. */
+        /** Load demanded from the server's link, as a share of its capacity. */
         LINK_USE,
-        /** What is asked of the rack's uplink over what it gives. */
+        /** Load demanded from the rack's uplink, as a share of its capacity. */
         UPLINK_USE
     }
 
     /**
      * A class of session.
      *
-     * @param name its name
-     * @param aimMs wanted playing within this time
-     * @param worth worth of one second at a rung of worth 1
-     * @param once true when it is paid for at set-up and must be set up once at most
+     * @param name name of the class
+     * @param aimMs target time from the request until the session plays
+     * @param worth worth of one second of play at a rung of worth 1
+     * @param once true when a session is paid for at set-up and must be set up at most once
      * @param floor lowest rung that may be set
      * @param top highest rung of the class
-     * @param scale its rates over those of the ladder
-     * @param seats sessions of one title that this front may hold; 0: no cap
+     * @param scale rates of the class as a multiple of those of the ladder
+     * @param seats maximum number of sessions of one title at this front; 0: unlimited
      */
     record ServiceClass(
             String name, double aimMs, double worth, boolean once, int floor, int top, double scale, int seats) {}
@@ -89,30 +92,30 @@
     /**
      * A tenant.
      *
-     * @param name its name
-     * @param share its share of the service
-     * @param quotaPerS new sessions a second, over all fronts, within its share; NaN: not limited
+     * @param name name of the tenant
+     * @param share share of the service that the tenant is entitled to
+     * @param quotaPerS new sessions a second over all fronts that count as within the share; NaN: unlimited
      */
     record Tenant(String name, double share, double quotaPerS) {}
 
     /**
      * A kind of server.
      *
-     * @param name its name
-     * @param places streams that it runs at most
+     * @param name name of the kind
+     * @param places maximum number of concurrent streams
      */
     record Kind(String name, double places) {}
 
     /**
-     * The figures of the rules.
+     * Limits for cold servers and for retries.
      *
-     * @param coldMs a server is warm after this time at the latest
-     * @param coldShare it starts at this share of its capacity or above
-     * @param fallMultiple sent more than this multiple of its present capacity
-     * @param fallMs for this long, a cold server falls over
-     * @param spareAttempts further attempts allowed however low the traffic; NaN: further attempts are free
-     * @param attemptShare and further attempts allowed for each request taken
-     * @param attemptWindowMs both counted over this time
+     * @param coldMs time after its start within which a server is warm
+     * @param coldShare smallest share of its capacity that a server has after its start
+     * @param fallMultiple a cold server fails when it is sent more than this multiple of its present capacity
+     * @param fallMs time for which {@code fallMultiple} must be exceeded to make a cold server fail
+     * @param spareAttempts retries that are allowed at any request rate; NaN: retries are unlimited
+     * @param attemptShare retries that are allowed in addition for each request received
+     * @param attemptWindowMs time over which retries and requests are counted; NaN: retries are unlimited
      */
     record Rules(
             double coldMs,
@@ -124,7 +127,7 @@
             double attemptWindowMs) {}
 
     /**
-     * The settings of one front, all known at its start.
+     * The settings of one front. All are known at its start and never change.
      *
      * @param me number of this front
      * @param fronts number of fronts
@@ -133,21 +136,21 @@
      * @param tenants the tenants, may be empty
      * @param kinds the kinds of server
      * @param rungKb the ladder: rate of each rung, kB a second
-     * @param rungWorth what each rung earns
+     * @param rungWorth worth of each rung
      * @param cells number of cells
-     * @param racks number of racks; a server's rack is its cell mod this
-     * @param linksKb all links together at the start, kB a second
-     * @param weightKb link of a server for each unit of its weight, kB a second
-     * @param uplinkKb mean uplink of a rack, kB a second
-     * @param stall points of worth lost for each point of the rate that is missing
-     * @param changeCostMs what a change of rung costs, as time of the session's worth
-     * @param seeMs how late notes are
-     * @param tellMs time between two notes of use; 0: none
-     * @param maxAttempts attempts allowed for one request
-     * @param maxRetryAfterMs the longest stay-away a viewer observes
+     * @param racks number of racks; the rack of a server is its cell modulo this number
+     * @param linksKb total capacity of all links at the start, kB a second
+     * @param weightKb link capacity of a server for each unit of its weight, kB a second
+     * @param uplinkKb mean capacity of a rack's uplink, kB a second
+     * @param stall points of worth lost for each point of the rate that is not delivered
+     * @param changeCostMs cost of a change of rung, as time of play in which the session earns the same worth
+     * @param seeMs delay of notes
+     * @param tellMs interval of a server's notes about utilization; 0: there are none
+     * @param maxAttempts maximum number of attempts for one request
+     * @param maxRetryAfterMs longest retry delay that viewers observe
      * @param crossZonePrice price of a session that crosses zones
-     * @param overShareWorth worth of a session beyond its tenant's share
-     * @param rules the figures of the rules
+     * @param overShareWorth worth of a session beyond its tenant's share, relative to one within it
+     * @param rules limits for cold servers and for retries
      */
     record Settings(
             int me,
@@ -174,14 +177,14 @@
             Rules rules) {}
 
     /**
-     * A server as the list shows it.
+     * A server as the server list shows it.
      *
-     * @param id its name
-     * @param zone its zone
-     * @param kind its kind
-     * @param cell its cell
-     * @param state what the list says of it
-     * @param weight its size as listed
+     * @param id name of the server
+     * @param zone zone of the server
+     * @param kind name of its kind
+     * @param cell number of its cell
+     * @param state listed state
+     * @param weight listed size, relative to other servers
      * @param startedAt time of its last start; NaN: long ago
      */
     record Server(String id, String zone, String kind, int cell, ServerState state, double weight, double startedAt) {}
@@ -189,16 +192,16 @@
     /**
      * A viewer's request for a session, or a session that was under way when the front started.
      *
-     * @param id its identifier, never used again
-     * @param className its class
-     * @param tenant its tenant, or null
-     * @param key the viewer's session, the same when it comes again, or null
-     * @param title what is watched
+     * @param id identifier of the request, never reused
+     * @param className name of the class of session
+     * @param tenant name of the tenant, or null
+     * @param key identifier of the viewer's session, the same for each of its requests, or null
+     * @param title title to play
      * @param leftMs time left before the viewer gives up
      * @param home first cell that holds the title
-     * @param copies cells in a row that hold it
-     * @param top highest rung that this viewer can use
-     * @param moved true when it comes back from a move of this front
+     * @param copies number of consecutive cells that hold the title
+     * @param top highest rung that the viewer can use
+     * @param moved true when the session returns after this front moved it off a server
      * @param returning true when it is not the viewer's first try
      */
     record Request(
@@ -217,65 +220,65 @@
     /**
      * A load report of a server.
      *
-     * @param inflight streams that it runs or sets up
-     * @param link what is asked of its link over what the link gives
-     * @param uplink the same of its rack's uplink
+     * @param inflight number of streams that the server runs or sets up
+     * @param link load demanded from the server's link, as a share of its capacity
+     * @param uplink load demanded from its rack's uplink, as a share of its capacity
      */
     record Load(double inflight, double link, double uplink) {}
 
-    /** What the module asks of the front. */
+    /** Actions that the module requests from the front. */
     interface Actions {
-        /** Sets the session up at a server; the attempt is given up at the time {@code until}. */
+        /** Sends a set-up of the session to a server. The attempt times out at the time {@code until}. */
         void send(String request, double until, String server);
 
-        /** Sets the rung: free until the server has started the session. */
+        /** Sets the rung of a session. A change has no cost until the server has started the session. */
         void rate(String request, int rung);
 
-        /** Takes a playing session off its server; its viewer soon comes back to this front. */
+        /** Takes a playing session off its server. A new request for it follows at this front shortly after. */
         void move(String request);
 
-        /** Final answer: turned away, a later try is harmless; come back after so long. */
+        /** Final answer: refused. The viewer may safely try again after the given delay. */
         void refuse(String request, double retryAfterMs);
 
-        /** Final answer: failed, with no assurance about its effect. */
+        /** Final answer: failed. An attempt may have taken effect. */
         void fail(String request);
 
-        /** Asks for {@link SessionControl#timer} with this token after so long. */
+        /** Requests a call of {@link SessionControl#timer} with this token after a delay. */
         void timer(String token, double delayMs);
 
-        /** A line for the operators. */
+        /** Writes a line to the operators' log. */
         void log(String text);
     }
 
-    /** The front has started; told once, before all else. */
+    /** The front has started. Called once, before any other event. */
     void start(double now);
 
-    /** A list of servers came. A server absent from a whole list is gone. */
+    /** A server list was received. A server that is missing from a complete list is gone. */
     void servers(double now, ListKind kind, List<Server> servers);
 
-    /** A request was taken. It gets one final answer: it plays, is refused or failed. */
+    /** A request was received. It gets exactly one final answer: playing, refused or failed. */
     void request(double now, Request request);
 
-    /** A session that was under way at the start, playing at this server; its rung follows as a note. */
+    /** A session was already playing at this server when the front started. Its rung follows as a note. */
     void takenOver(double now, Request request, String server);
 
-    /** The session plays; its set-up took so long. */
+    /** The session plays. Its set-up took {@code tookMs}. */
     void playing(double now, String request, String server, double tookMs);
 
     /**
      * An attempt ended.
      *
-     * @param closed true when the request is over; if not, the final answer is still owed
+     * @param closed true when the request has ended; false when its final answer is still pending
      * @param load the server's load report, or null
      */
     void ended(double now, String request, boolean closed, Outcome outcome, String server, Load load);
 
-    /** A note about a playing session. */
+    /** A server sent a note about a playing session. */
     void note(double now, String request, String server, NoteKind kind, double value);
 
-    /** The viewer has left, or the answer is overdue: nothing more is owed for the request. */
+    /** The viewer has left, or the front answered an overdue request itself: no answer is pending any more. */
     void gone(double now, String request);
 
-    /** A timer fell due. */
+    /** A timer has expired. */
     void timer(double now, String token);
 }
--- a/core/src/main/java/spanrill/setup/FlattenedObject.java
+++ b/core/src/main/java/spanrill/setup/FlattenedObject.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * Values by path. A list of plain values is one value joined by commas; a list of objects has its length
- * under {@code .count} and its items under {@code .0}, {@code .1} and so forth.
+ * A nested object as a flat map from path to value. A list of plain values is one value joined by commas. A list of
+ * objects has its length under {@code .count} and its items under {@code .0}, {@code .1} and so forth.
  */
 public final class FlattenedObject {
     private final Map<String, String> values;
     private final String prefix;
 
-    /** Reads from these values. */
+    /** Wraps values by path. */
     public FlattenedObject(Map<String, String> values) {
         this(values, "");
     }
@@ -22,26 +22,26 @@
         this.prefix = prefix;
     }
 
-    /** The same values seen from a path, which ends with a dot or is empty. */
+    /** Returns a view of the values below a path, which ends with a dot or is empty. */
     public FlattenedObject section(String path) {
         return new FlattenedObject(values, prefix + path);
     }
 
-    /** True when there is such a value. */
+    /** Returns whether there is a value at a key. */
     public boolean has(String key) {
         return values.containsKey(prefix + key);
     }
 
-    /** A value that must be there. */
+    /** Returns a required value as text. */
     public String text(String key) {
         String value = values.get(prefix + key);
         if (value == null) {
-            throw invalid(key, "is missing in setup");
+            throw invalid(key, "is missing");
         }
         return value;
     }
 
-    /** A whole number. */
+    /** Returns a required whole number. */
     public int integer(String key) {
         double number = number(key);
         if (number != Math.rint(number) || Math.abs(number) > Integer.MAX_VALUE) {
@@ -50,41 +50,41 @@
         return (int) number;
     }
 
-    /** A finite number. */
+    /** Returns a required finite number. */
     public double number(String key) {
         return parse(key, text(key));
     }
 
-    /** A finite number, or NaN where there is none. */
+    /** Returns a finite number, or NaN when there is no value. */
     public double optionalNumber(String key) {
         return has(key) ? number(key) : Double.NaN;
     }
 
-    /** How many objects a list has; 0 where there is none. */
+    /** Returns the length of a list of objects; 0 when there is no list. */
     public int itemCount(String key) {
         return has(key + ".count") ? integer(key + ".count") : 0;
     }
 
-    /** A list of numbers. */
+    /** Returns a required list of finite numbers. */
     public List<Double> numbers(String key) {
-        List<Double> list = new ArrayList<>();
+        List<Double> numbers = new ArrayList<>();
         for (String item : text(key).split(",")) {
-            list.add(parse(key, item));
+            numbers.add(parse(key, item));
         }
-        return list;
+        return numbers;
     }
 
-    /** An item of a list that must have it. */
-    public double item(String key, List<Double> list, int i) {
-        if (i >= list.size()) {
+    /** Returns an item of the list read from a key; throws when the list is too short. */
+    public double item(String key, List<Double> numbers, int index) {
+        if (index >= numbers.size()) {
             throw invalid(key, "has too few items");
         }
-        return list.get(i);
+        return numbers.get(index);
     }
 
-    /** A fault at a key. */
-    public InvalidFieldException invalid(String key, String what) {
-        return new InvalidFieldException(prefix + key, what);
+    /** Returns an exception that names the full path of a key. */
+    public InvalidFieldException invalid(String key, String problem) {
+        return new InvalidFieldException(prefix + key, problem);
     }
 
     private double parse(String key, String value) {
@@ -94,7 +94,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // said below, with the key
+            // reported below, with the key
         }
         throw invalid(key, "is not a number: '" + value + "'");
     }
--- a/core/src/main/java/spanrill/setup/InvalidFieldException.java
+++ b/core/src/main/java/spanrill/setup/InvalidFieldException.java
@@ -1,30 +1,30 @@
 package spanrill.setup;
 
-/** A setting is missing or wrong; says which by its path. */
+/** A field is missing or has an invalid value. */
 public final class InvalidFieldException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final String path;
-    private final String what;
+    private final String problem;
 
     /**
-     * A fault at a path.
+     * Creates an exception for one field.
      *
-     * @param path path of the setting, as in {@code limits.max_attempts}
-     * @param what what is wrong, as in "is missing"
+     * @param path path of the field, as in {@code limits.max_attempts}
+     * @param problem the problem with the field, as in "is missing"
      */
-    public InvalidFieldException(String path, String what) {
-        super("'" + path + "' " + what);
+    public InvalidFieldException(String path, String problem) {
+        super("'" + path + "' " + problem);
         this.path = path;
-        this.what = what;
+        this.problem = problem;
     }
 
-    /** Path of the setting. */
+    /** Path of the field. */
     public String path() {
         return path;
     }
 
-    /** What is wrong with it. */
+    /** The problem with the field, worded to follow its path. */
     public String problem() {
-        return what;
+        return problem;
     }
 }
--- a/core/src/main/java/spanrill/setup/SettingsReader.java
+++ b/core/src/main/java/spanrill/setup/SettingsReader.java
@@ -11,27 +11,27 @@
 import spanrill.SessionControl.Settings;
 import spanrill.SessionControl.Tenant;
 
-/** SerialExecutor the operators' settings of an instance into the module's; keys that it does not know are ignored. */
+/** Reads a front's configuration into the settings of its decision module. Unknown keys are ignored. */
 public final class SettingsReader {
-    private final FlattenedObject pairs;
+    private final FlattenedObject fields;
 
-    /** Reads from these. */
-    public SettingsReader(FlattenedObject pairs) {
-        this.pairs = pairs;
+    /** Reads from the fields of a configuration. */
+    public SettingsReader(FlattenedObject fields) {
+        this.fields = fields;
     }
 
-    /** The names of the values of a load report, in order; none where servers do not report. */
+    /** Returns the names of the values in a load report, in order; empty when servers send no reports. */
     public List<String> reportNames() {
-        return pairs.has("report.names") ? List.of(pairs.text("report.names").split(",")) : List.of();
+        return fields.has("report.names") ? List.of(fields.text("report.names").split(",")) : List.of();
     }
 
-    /** A load report from its values by name; what is absent is NaN. */
+    /** Returns a load report from its values by name. Missing values are NaN. */
     public static Load load(Map<String, Double> values) {
         double link = values.getOrDefault("x0", values.getOrDefault("util", Double.NaN));
         return new Load(values.getOrDefault("inflight", Double.NaN), link, values.getOrDefault("x1", Double.NaN));
     }
 
-    /** A load report from values in the order of {@code names}. */
+    /** Returns a load report from values in the order of {@code names}. */
     public static Load load(List<String> names, List<Double> values) {
         Map<String, Double> byName = new HashMap<>();
         for (int i = 0; i < values.size() && i < names.size(); i++) {
@@ -41,84 +41,84 @@
     }
 
     /**
-     * The module's settings.
+     * Returns the settings of the module.
      *
      * @throws InvalidFieldException naming the first setting that is missing or wrong
      */
     public Settings settings() {
         return new Settings(
-                pairs.integer("me"),
-                pairs.integer("balancers"),
-                pairs.text("az"),
+                fields.integer("me"),
+                fields.integer("balancers"),
+                fields.text("az"),
                 classes(),
                 tenants(),
                 kinds(),
-                pairs.numbers("family_info.level_kb"),
-                pairs.numbers("family_info.worth_by_rung"),
-                pairs.integer("family_info.cells"),
-                pairs.integer("family_info.racks"),
-                pairs.number("family_info.links_kb"),
-                pairs.number("family_info.weight_kb"),
-                pairs.number("family_info.rack_kb"),
-                pairs.number("family_info.stall"),
-                pairs.number("family_info.change_costs_s") * 1000,
-                pairs.number("family_info.told_late"),
-                pairs.number("family_info.tell"),
-                pairs.integer("limits.max_attempts"),
-                pairs.number("limits.max_retry_after"),
-                pairs.number("penalties.cross_zone"),
-                pairs.number("over_share_worth"),
+                fields.numbers("family_info.level_kb"),
+                fields.numbers("family_info.worth_by_rung"),
+                fields.integer("family_info.cells"),
+                fields.integer("family_info.racks"),
+                fields.number("family_info.links_kb"),
+                fields.number("family_info.weight_kb"),
+                fields.number("family_info.rack_kb"),
+                fields.number("family_info.stall"),
+                fields.number("family_info.change_costs_s") * 1000,
+                fields.number("family_info.told_late"),
+                fields.number("family_info.tell"),
+                fields.integer("limits.max_attempts"),
+                fields.number("limits.max_retry_after"),
+                fields.number("penalties.cross_zone"),
+                fields.number("over_share_worth"),
                 rules());
     }
 
     private Rules rules() {
         return new Rules(
-                pairs.number("safety.cold"),
-                pairs.number("safety.cold_share"),
-                pairs.number("safety.tip_multiple"),
-                pairs.number("safety.fall"),
-                pairs.optionalNumber("safety.spare_attempts"),
-                pairs.optionalNumber("safety.resend_ratio"),
-                pairs.optionalNumber("safety.resend_span"));
+                fields.number("safety.cold"),
+                fields.number("safety.cold_share"),
+                fields.number("safety.tip_multiple"),
+                fields.number("safety.fall"),
+                fields.optionalNumber("safety.spare_attempts"),
+                fields.optionalNumber("safety.resend_ratio"),
+                fields.optionalNumber("safety.resend_span"));
     }
 
     private List<ServiceClass> classes() {
         List<ServiceClass> classes = new ArrayList<>();
-        List<Double> floors = pairs.numbers("family_info.class_floor");
-        List<Double> tops = pairs.numbers("family_info.class_top");
-        List<Double> scales = pairs.numbers("family_info.scale_by_class");
-        List<Double> seats = pairs.numbers("family_info.class_seats");
-        int count = pairs.integer("classes.count");
+        List<Double> floors = fields.numbers("family_info.class_floor");
+        List<Double> tops = fields.numbers("family_info.class_top");
+        List<Double> scales = fields.numbers("family_info.scale_by_class");
+        List<Double> seats = fields.numbers("family_info.class_seats");
+        int count = fields.integer("classes.count");
         for (int i = 0; i < count; i++) {
-            FlattenedObject one = pairs.section("classes." + i + ".");
+            FlattenedObject type = fields.section("classes." + i + ".");
             classes.add(new ServiceClass(
-                    one.text("name"),
-                    one.number("target"),
-                    one.number("value"),
-                    !one.text("effect").equals("repeatable"),
-                    (int) pairs.item("family_info.class_floor", floors, i),
-                    (int) pairs.item("family_info.class_top", tops, i),
-                    pairs.item("family_info.scale_by_class", scales, i),
-                    (int) pairs.item("family_info.class_seats", seats, i)));
+                    type.text("name"),
+                    type.number("target"),
+                    type.number("value"),
+                    !type.text("effect").equals("repeatable"),
+                    (int) fields.item("family_info.class_floor", floors, i),
+                    (int) fields.item("family_info.class_top", tops, i),
+                    fields.item("family_info.scale_by_class", scales, i),
+                    (int) fields.item("family_info.class_seats", seats, i)));
         }
         return classes;
     }
 
     private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < pairs.itemCount("tenants"); i++) {
-            FlattenedObject one = pairs.section("tenants." + i + ".");
-            tenants.add(new Tenant(one.text("name"), one.number("share"), one.optionalNumber("quota_per_s")));
+        for (int i = 0; i < fields.itemCount("tenants"); i++) {
+            FlattenedObject tenant = fields.section("tenants." + i + ".");
+            tenants.add(new Tenant(tenant.text("name"), tenant.number("share"), tenant.optionalNumber("quota_per_s")));
         }
         return tenants;
     }
 
     private List<Kind> kinds() {
         List<Kind> kinds = new ArrayList<>();
-        List<Double> places = pairs.numbers("family_info.places_by_kind");
-        String[] names = pairs.text("models").split(",");
+        List<Double> places = fields.numbers("family_info.places_by_kind");
+        String[] names = fields.text("models").split(",");
         for (int i = 0; i < names.length; i++) {
-            kinds.add(new Kind(names[i], pairs.item("family_info.places_by_kind", places, i)));
+            kinds.add(new Kind(names[i], fields.item("family_info.places_by_kind", places, i)));
         }
         return kinds;
     }
--- a/core/src/main/java/spanrill/setup/package-info.java
+++ b/core/src/main/java/spanrill/setup/package-info.java
@@ -1,2 +1,2 @@
-/** An instance's settings, read from the operators' names; the same for the bench's wire and for a node. */
+/** Reads the settings of a front from its configuration; shared by the simulator adapter and the front node. */
 package spanrill.setup;
