--- a/core/src/test/java/spanrill/ScriptedFront.java
+++ b/core/src/test/java/spanrill/ScriptedFront.java
@@ -12,15 +12,15 @@
 import spanrill.SessionControl.ServiceClass;
 import spanrill.SessionControl.Settings;
 
-/** A front of a few lines: it hosts one module, plays its timers and writes down its actions. */
+/** A minimal front for tests: hosts one module, runs its timers and records its actions. */
 final class ScriptedFront implements Actions {
-    final List<String> said = new ArrayList<>();
-    final List<Double> untils = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
+    final List<Double> attemptDeadlines = new ArrayList<>();
     final Control control;
     double now = 100_000;
-    private final List<Due> timers = new ArrayList<>();
+    private final List<Timer> timers = new ArrayList<>();
 
-    private record Due(double at, String token) {}
+    private record Timer(double dueAt, String token) {}
 
     ScriptedFront(Settings settings) {
         this(settings, 7);
@@ -31,7 +31,7 @@
         control.start(now);
     }
 
-    /** Four servers of one rack, long started, the given front's list still fresh. */
+    /** Settings for four cells in one rack and two classes of session. */
     static Settings settings(int fronts, int maxAttempts, Rules rules) {
         return new Settings(
                 0,
@@ -60,39 +60,39 @@
                 rules);
     }
 
-    /** The same with tenants. */
+    /** Settings for three fronts, with tenants. */
     static Settings withTenants(List<SessionControl.Tenant> tenants) {
-        Settings s = settings(3, 3, rules());
+        Settings base = settings(3, 3, rules());
         return new Settings(
-                s.me(),
-                s.fronts(),
-                s.zone(),
-                s.classes(),
+                base.me(),
+                base.fronts(),
+                base.zone(),
+                base.classes(),
                 tenants,
-                s.kinds(),
-                s.rungKb(),
-                s.rungWorth(),
-                s.cells(),
-                s.racks(),
-                s.linksKb(),
-                s.weightKb(),
-                s.uplinkKb(),
-                s.stall(),
-                s.changeCostMs(),
-                s.seeMs(),
-                s.tellMs(),
-                s.maxAttempts(),
-                s.maxRetryAfterMs(),
-                s.crossZonePrice(),
-                s.overShareWorth(),
-                s.rules());
+                base.kinds(),
+                base.rungKb(),
+                base.rungWorth(),
+                base.cells(),
+                base.racks(),
+                base.linksKb(),
+                base.weightKb(),
+                base.uplinkKb(),
+                base.stall(),
+                base.changeCostMs(),
+                base.seeMs(),
+                base.tellMs(),
+                base.maxAttempts(),
+                base.maxRetryAfterMs(),
+                base.crossZonePrice(),
+                base.overShareWorth(),
+                base.rules());
     }
 
     static Rules rules() {
         return new Rules(12_000, 0.4, 2, 1500, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    /** A front with servers s0 to s3 known and warm. */
+    /** Creates a front that knows the servers s0 to s3, all of them warm. */
     static ScriptedFront warm() {
         ScriptedFront front = new ScriptedFront(settings(3, 3, rules()));
         front.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
@@ -108,20 +108,20 @@
         control.servers(now, kind, servers);
     }
 
-    Request request(String id, String type, double left) {
-        return new Request(id, type, null, "k" + id, "title", left, 0, 4, 4, false, false);
+    Request request(String id, String className, double leftMs) {
+        return new Request(id, className, null, "k" + id, "title", leftMs, 0, 4, 4, false, false);
     }
 
-    /** Tells a request and gives the server it was sent to, or null. */
-    String ask(String id, String type) {
-        control.request(now, request(id, type, 3000));
+    /** Sends a request to the module and returns the server that it was sent to, or null. */
+    String request(String id, String className) {
+        control.request(now, request(id, className, 3000));
         return sentTo(id);
     }
 
-    /** The server of the last attempt of a request, or null. */
+    /** Returns the server of the last attempt of a request, or null. */
     String sentTo(String id) {
         String server = null;
-        for (String line : said) {
+        for (String line : actions) {
             if (line.startsWith("send " + id + " ")) {
                 server = line.substring(line.lastIndexOf(' ') + 1);
             }
@@ -129,33 +129,33 @@
         return server;
     }
 
-    /** Asks for a session and has it play. */
-    String play(String id, String type) {
-        String server = ask(id, type);
+    /** Sends a request and reports that its session plays. Returns its server. */
+    String play(String id, String className) {
+        String server = request(id, className);
         control.playing(now, id, server, 50);
         return server;
     }
 
-    long count(String start) {
-        return said.stream().filter(line -> line.startsWith(start)).count();
+    long count(String prefix) {
+        return actions.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
-    /** Lets time pass, with the timers due in it. */
-    void run(double ms) {
-        double end = now + ms;
-        for (Due due = next(end); due != null; due = next(end)) {
-            timers.remove(due);
-            now = Math.max(now, due.at);
-            control.timer(now, due.token);
+    /** Advances the clock and runs the timers that become due. */
+    void run(double durationMs) {
+        double end = now + durationMs;
+        for (Timer timer = nextTimer(end); timer != null; timer = nextTimer(end)) {
+            timers.remove(timer);
+            now = Math.max(now, timer.dueAt);
+            control.timer(now, timer.token);
         }
         now = end;
     }
 
-    private Due next(double end) {
-        Due first = null;
-        for (Due due : timers) {
-            if (due.at <= end && (first == null || due.at < first.at)) {
-                first = due;
+    private Timer nextTimer(double end) {
+        Timer first = null;
+        for (Timer timer : timers) {
+            if (timer.dueAt <= end && (first == null || timer.dueAt < first.dueAt)) {
+                first = timer;
             }
         }
         return first;
@@ -163,37 +163,37 @@
 
     @Override
     public void send(String request, double until, String server) {
-        said.add("send " + request + " " + server);
-        untils.add(until);
+        actions.add("send " + request + " " + server);
+        attemptDeadlines.add(until);
     }
 
     @Override
     public void rate(String request, int rung) {
-        said.add("rate " + request + " " + rung);
+        actions.add("rate " + request + " " + rung);
     }
 
     @Override
     public void move(String request) {
-        said.add("move " + request);
+        actions.add("move " + request);
     }
 
     @Override
     public void refuse(String request, double retryAfterMs) {
-        said.add("refuse " + request + " " + retryAfterMs);
+        actions.add("refuse " + request + " " + retryAfterMs);
     }
 
     @Override
     public void fail(String request) {
-        said.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
     public void timer(String token, double delayMs) {
-        timers.add(new Due(now + delayMs, token));
+        timers.add(new Timer(now + delayMs, token));
     }
 
     @Override
     public void log(String text) {
-        said.add("log " + text);
+        actions.add("log " + text);
     }
 }
--- a/session/src/main/java/spanrill/session/Attempts.java
+++ b/session/src/main/java/spanrill/session/Attempts.java
@@ -6,15 +6,15 @@
 import spanrill.decisions.SessionState.Event;
 import spanrill.decisions.SessionState.Phase;
 
-/** The attempts that are out: each is sent once, and ends once, whatever its box and its timer do. */
+/** Sends set-up attempts. Each attempt is sent once and ends once, in whatever order its box and its timer report. */
 final class Attempts {
-    /** Hears what attempts come to, within a turn. */
+    /** Receives the results of attempts, called from within an event of the executor. */
     interface Owner {
-        /** It plays. */
-        void plays(double now, Session session, double tookMs);
+        /** The session plays. */
+        void onPlaying(double now, Session session, double tookMs);
 
-        /** It ended before it played. */
-        void ended(double now, Session session, Outcome outcome, Load load);
+        /** The attempt ended before the session played. */
+        void onAttemptEnded(double now, Session session, Outcome outcome, Load load);
     }
 
     private final SerialExecutor executor;
@@ -30,56 +30,56 @@
         this.owner = owner;
     }
 
-    void begin(BoxClient side) {
-        boxes = side;
+    void start(BoxClient boxClient) {
+        boxes = boxClient;
     }
 
-    /** Sends one; it is given up at the time {@code until}. */
+    /** Sends an attempt, which times out at the time {@code until}. */
     void send(Session session, double until, String box) {
         session.state.apply(Event.SEND);
         session.box = box;
         session.sentAt = executor.now();
-        String key = session.moduleRequest + "." + session.state.attempts();
-        table.attempt(session, key);
-        boolean goesOn = session.phase() == Phase.MOVING_SET_UP;
-        session.until = executor.schedule(until - session.sentAt, now -> timedOut(now, session, key));
+        String attemptKey = session.moduleRequestId + "." + session.state.attempts();
+        table.bindAttempt(session, attemptKey);
+        boolean continues = session.phase() == Phase.MOVING_SET_UP;
+        session.timeout = executor.schedule(until - session.sentAt, now -> timedOut(now, session, attemptKey));
         session.attempt = boxes.setUp(
                 new BoxClient.SetUpRequest(
                         box,
-                        key,
+                        attemptKey,
                         session.request(),
                         session.rung,
-                        session.type().once() && !goesOn,
-                        goesOn ? session.firstKey : null),
+                        session.type().once() && !continues,
+                        continues ? session.firstAttemptKey : null),
                 new BoxClient.AttemptListener() {
                     @Override
                     public void onPlaying() {
-                        executor.execute(now -> playing(now, session, key));
+                        executor.execute(now -> attemptPlaying(now, session, attemptKey));
                     }
 
                     @Override
                     public void onEnded(Outcome outcome, Load load) {
-                        executor.execute(now -> attemptEnded(now, session, key, outcome, load));
+                        executor.execute(now -> attemptEnded(now, session, attemptKey, outcome, load));
                     }
                 });
     }
 
-    private static boolean isOut(Session session, String key) {
-        return session.state.hasOpenAttempt() && key.equals(session.key);
+    private static boolean isOpen(Session session, String attemptKey) {
+        return session.state.hasOpenAttempt() && attemptKey.equals(session.attemptKey);
     }
 
-    private void timedOut(double now, Session session, String key) {
-        if (isOut(session, key)) {
-            attemptEnded(now, session, key, stop(session, OutcomeTable.Event.TIMED_OUT), null);
+    private void timedOut(double now, Session session, String attemptKey) {
+        if (isOpen(session, attemptKey)) {
+            attemptEnded(now, session, attemptKey, abandon(session, OutcomeTable.Event.TIMED_OUT), null);
         }
     }
 
-    private void attemptEnded(double now, Session session, String key, Outcome outcome, Load load) {
-        if (!isOut(session, key)) {
+    private void attemptEnded(double now, Session session, String attemptKey, Outcome outcome, Load load) {
+        if (!isOpen(session, attemptKey)) {
             return;
         }
-        session.until.cancel();
-        table.forgetKey(key);
+        session.timeout.cancel();
+        table.unbindAttempt(attemptKey);
         session.state.attemptEnded(outcome);
         log.info(
                 "attempt.ended",
@@ -93,34 +93,34 @@
                 outcome.neverRan(),
                 "ms",
                 Math.round(now - session.sentAt));
-        owner.ended(now, session, outcome, load);
+        owner.onAttemptEnded(now, session, outcome, load);
     }
 
-    private void playing(double now, Session session, String key) {
-        if (!isOut(session, key)) {
+    private void attemptPlaying(double now, Session session, String attemptKey) {
+        if (!isOpen(session, attemptKey)) {
             return;
         }
-        session.until.cancel();
-        owner.plays(now, session, now - session.sentAt);
+        session.timeout.cancel();
+        owner.onPlaying(now, session, now - session.sentAt);
     }
 
-    /** Gives up the attempt that is out, if any. */
-    void callOff(Session session) {
+    /** Cancels the open attempt of a session, if there is one. */
+    void cancel(Session session) {
         if (session.state.hasOpenAttempt()) {
-            session.state.attemptEnded(stop(session, OutcomeTable.Event.CANCELLED));
+            session.state.attemptEnded(abandon(session, OutcomeTable.Event.CANCELLED));
         }
     }
 
-    private Outcome stop(Session session, OutcomeTable.Event why) {
-        session.until.cancel();
-        table.forgetKey(session.key);
-        return session.attempt.abandon(why);
+    private Outcome abandon(Session session, OutcomeTable.Event reason) {
+        session.timeout.cancel();
+        table.unbindAttempt(session.attemptKey);
+        return session.attempt.abandon(reason);
     }
 
-    /** Tells the box of a session its rung, where one plays it or sets it up. */
-    void rate(Session session) {
+    /** Sends the rung of a session to the box that plays it or sets it up, if there is one. */
+    void sendRung(Session session) {
         if (session.phase() == Phase.PLAYING || session.state.hasOpenAttempt()) {
-            boxes.setRung(session.box, session.key, session.rung);
+            boxes.setRung(session.box, session.attemptKey, session.rung);
         }
     }
 }
--- a/session/src/main/java/spanrill/session/BoxClient.java
+++ b/session/src/main/java/spanrill/session/BoxClient.java
@@ -5,47 +5,53 @@
 import spanrill.SessionControl.Outcome;
 import spanrill.decisions.OutcomeTable;
 
-/** What the core asks of boxes. All calls and callbacks come one after the other;
- * callbacks may come within a call. */
+/**
+ * Sends the core's commands to boxes. Calls and callbacks never run concurrently. A callback may run from within a
+ * call.
+ */
 public interface BoxClient {
     /**
-     * An order to set a session up.
+     * A request to set a session up.
      *
-     * @param box the box
+     * @param box name of the box
      * @param key key of the attempt
-     * @param request what is wanted
-     * @param rung rung
-     * @param spends true when it spends something (a paid class's first set-up)
-     * @param continues key of the attempt that it goes on with, or null
+     * @param request the viewer's request
+     * @param rung rung to start with
+     * @param spends true when the set-up spends the token: the first set-up of a class that is paid for at set-up
+     * @param continues key of the attempt whose session this one continues after a move, or null
      */
     record SetUpRequest(String box, String key, ViewerRequest request, int rung, boolean spends, String continues) {}
 
-    /** Hears what comes of an attempt: one of the two, once. */
+    /** Receives the result of an attempt. Exactly one of the two methods is called, once. */
     interface AttemptListener {
-        /** The first media byte came. */
+        /** The first media byte arrived. */
         void onPlaying();
 
-        /** It ended before that. */
+        /** The attempt ended before any media arrived. */
         void onEnded(Outcome outcome, Load load);
     }
 
-    /** An attempt that is out. */
+    /** An open attempt. */
     interface Attempt {
         /**
-         * Gives it up; its listener hears no more, and the box is told to end it if it may know of it.
+         * Abandons the attempt. Its listener is not called any more, and a box that may have received the attempt is
+         * told to end it.
          *
-         * @param why time-out or called off
-         * @return what that amounts to
+         * @param reason timed out or cancelled
+         * @return the resulting outcome
          */
-        Outcome abandon(OutcomeTable.Event why);
+        Outcome abandon(OutcomeTable.Event reason);
     }
 
-    /** Sets a session up. */
-    Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener);
+    /** Sends a set-up request to its box. */
+    Attempt setUp(SetUpRequest request, AttemptListener listener);
 
-    /** Sets the rung of an attempt. */
+    /** Sends the rung of an attempt to its box. */
     void setRung(String box, String key, int rung);
 
-    /** Releases a session; {@code done} is called once, with the load or null when the box didn't answer. */
-    void release(String box, String key, Consumer<Load> done);
+    /**
+     * Releases a session. {@code onReleased} is called once, with the box's load report or with null when the box did
+     * not answer.
+     */
+    void release(String box, String key, Consumer<Load> onReleased);
 }
--- a/session/src/main/java/spanrill/session/CoreSettings.java
+++ b/session/src/main/java/spanrill/session/CoreSettings.java
@@ -4,16 +4,16 @@
 import spanrill.SessionControl;
 
 /**
- * What a core starts with.
+ * Settings of a session core.
  *
- * @param module settings of the module
- * @param seed seed of the module's draws
+ * @param module settings of the decision module
+ * @param seed seed of the module's random draws
  * @param types classes of session by name
- * @param idleMs a session whose player says nothing for so long is over
- * @param moveReturnMs a moved session waits at most so long for its old box's word
- * @param sameMs a token that comes again so soon after its refusal is the same request
- * @param tokens token ids remembered
- * @param maxRetryAfterMs the longest stay-away that viewers observe
+ * @param idleMs a session ends when its player shows no activity for this time
+ * @param moveReturnMs longest time that a moved session waits for its old box to confirm the release
+ * @param duplicateWindowMs a token received within this time after its refusal is a duplicate of the refused request
+ * @param maxTokens maximum number of token ids that are remembered
+ * @param maxRetryAfterMs longest retry delay that viewers observe
  */
 public record CoreSettings(
         SessionControl.Settings module,
@@ -21,6 +21,6 @@
         Map<String, SessionType> types,
         double idleMs,
         double moveReturnMs,
-        double sameMs,
-        int tokens,
+        double duplicateWindowMs,
+        int maxTokens,
         double maxRetryAfterMs) {}
--- a/session/src/main/java/spanrill/session/EventSink.java
+++ b/session/src/main/java/spanrill/session/EventSink.java
@@ -1,19 +1,19 @@
 package spanrill.session;
 
-/** Takes what operators may want to see: an event's name and its fields, names and values in turn. */
+/** Receives log events: the name of the event and its fields, as alternating names and values. */
 public interface EventSink {
-    /** Something happened. */
+    /** Logs an event of normal operation. */
     void info(String event, Object... fields);
 
-    /** A fault of this program; {@code cause} may be null. */
+    /** Logs a fault of this program. {@code cause} may be null. */
     void error(String event, Throwable cause, Object... fields);
 
-    /** False when it keeps nothing, so that what costs something to say need not be built. */
+    /** Whether events are logged at all. When false, callers can avoid building expensive fields. */
     default boolean isEnabled() {
         return true;
     }
 
-    /** Keeps nothing. */
+    /** Returns a sink that discards all events. */
     static EventSink none() {
         return new EventSink() {
             @Override
--- a/session/src/main/java/spanrill/session/Scheduler.java
+++ b/session/src/main/java/spanrill/session/Scheduler.java
@@ -1,19 +1,19 @@
 package spanrill.session;
 
 /**
- * Time and timers. All timers run one after the other, never two at once, on the one thread (or within the
- * one run of events) that also makes every call of the core.
+ * A clock with timers. Timers never run concurrently: they run on the same thread, or in the same sequence of simulated
+ * events, as every call of the core.
  */
 public interface Scheduler {
-    /** A timer that was set. */
+    /** A scheduled action. */
     interface Timer {
-        /** Stops it; nothing happens when it ran already. */
+        /** Cancels the action. Does nothing when the action ran already. */
         void cancel();
     }
 
-    /** Now, milliseconds; only advances. */
+    /** Current time in milliseconds. Never goes back. */
     double now();
 
-    /** Runs an action once after a time, in milliseconds; at once in its turn when that is not above 0. */
-    Timer schedule(double ms, Runnable action);
+    /** Runs an action once after a delay in milliseconds. A delay of 0 or less puts it behind the actions now due. */
+    Timer schedule(double delayMs, Runnable action);
 }
--- a/session/src/main/java/spanrill/session/SerialExecutor.java
+++ b/session/src/main/java/spanrill/session/SerialExecutor.java
@@ -4,58 +4,58 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Gives events to the module one after the other, each with its time. What happens within an event (a box
- * side that answers at once) waits until that event is over: the module is never entered from
- * within its own calls.
+ * Runs events one after the other, each with its time. An event that is added while another runs (such as the callback
+ * of a box client that answers at once) waits until that one has ended, so the module is never re-entered from within
+ * its own calls.
  */
 public final class SerialExecutor {
     private final Scheduler scheduler;
     private final EventSink log;
-    private final ArrayDeque<DoubleConsumer> waiting = new ArrayDeque<>();
-    private boolean inside;
+    private final ArrayDeque<DoubleConsumer> queue = new ArrayDeque<>();
+    private boolean running;
 
-    /** Events are given their time by the scheduler; faults within them go to the log. */
+    /** Creates an executor with the scheduler's clock. Exceptions thrown by events are logged. */
     public SerialExecutor(Scheduler scheduler, EventSink log) {
         this.scheduler = scheduler;
         this.log = log;
     }
 
-    /** Now, milliseconds. */
+    /** Current time in milliseconds. */
     public double now() {
         return scheduler.now();
     }
 
-    /** Tells an event, now or when the one at hand is over. */
+    /** Runs an event now, or after the running event and those queued before it. */
     public void execute(DoubleConsumer event) {
-        waiting.add(event);
-        if (inside) {
+        queue.add(event);
+        if (running) {
             return;
         }
-        inside = true;
+        running = true;
         try {
-            for (DoubleConsumer next = waiting.poll(); next != null; next = waiting.poll()) {
+            for (DoubleConsumer next = queue.poll(); next != null; next = queue.poll()) {
                 try {
                     next.accept(scheduler.now());
                 } catch (RuntimeException e) {
-                    // One event's fault must not cost the others theirs; owed answers are given by the net.
+                    // A fault in one event must not stop the others. A pending answer is sent by the deadline guard.
                     log.error("core.fault", e);
                 }
             }
         } finally {
-            inside = false;
+            running = false;
         }
     }
 
-    /** Tells an event after a time. */
-    public Scheduler.Timer schedule(double ms, DoubleConsumer event) {
-        return scheduler.schedule(ms, () -> execute(event));
+    /** Runs an event after a delay in milliseconds. */
+    public Scheduler.Timer schedule(double delayMs, DoubleConsumer event) {
+        return scheduler.schedule(delayMs, () -> execute(event));
     }
 
-    /** Tells an event again and again. */
-    public void scheduleRepeatedly(double ms, DoubleConsumer event) {
-        scheduler.schedule(ms, () -> {
+    /** Runs an event repeatedly, at an interval in milliseconds. */
+    public void scheduleRepeatedly(double intervalMs, DoubleConsumer event) {
+        scheduler.schedule(intervalMs, () -> {
             execute(event);
-            scheduleRepeatedly(ms, event);
+            scheduleRepeatedly(intervalMs, event);
         });
     }
 }
--- a/session/src/main/java/spanrill/session/Session.java
+++ b/session/src/main/java/spanrill/session/Session.java
@@ -5,31 +5,31 @@
 import spanrill.decisions.SessionEnd;
 import spanrill.decisions.SessionState;
 
-/** A session as the core holds it. Viewer sides read it; only the core changes it. */
+/** State of one session in the core. Viewer sides read it; only the core changes it. */
 public final class Session {
     private final String id;
     private final ViewerRequest request;
     private final SessionType type;
     private final Title title;
     final SessionState state;
-    final double takenAt;
-    final List<ViewerCall> waiting = new ArrayList<>(1);
-    final List<Runnable> onChange = new ArrayList<>(1);
-    /** The request that the module knows it by now; a move makes a new one. */
-    String moduleRequest;
+    final double receivedAt;
+    final List<ViewerCall> pendingCalls = new ArrayList<>(1);
+    final List<Runnable> changeListeners = new ArrayList<>(1);
+    /** Identifier of the session's current request to the module. Each move makes a new request. */
+    String moduleRequestId;
 
     int moves;
     int rung;
     String box;
-    String key;
-    String firstKey;
+    String attemptKey;
+    String firstAttemptKey;
     double sentAt;
     BoxClient.Attempt attempt;
-    Scheduler.Timer until;
-    Scheduler.Timer net;
+    Scheduler.Timer timeout;
+    Scheduler.Timer deadlineGuard;
     double retryAfterMs;
-    int starved;
-    SessionEnd end;
+    int starvedReports;
+    SessionEnd endReason;
 
     Session(String id, ViewerRequest request, SessionType type, Title title, double now) {
         this.id = id;
@@ -37,73 +37,73 @@
         this.type = type;
         this.title = title;
         state = new SessionState(type.once());
-        takenAt = now;
+        receivedAt = now;
         rung = type.floor();
     }
 
-    /** Its public name: hard to guess, so that knowing it is leave to use it. */
+    /** Public id of the session. It is hard to guess, so knowing it authorizes its use. */
     public String id() {
         return id;
     }
 
-    /** What was asked. */
+    /** The viewer's request. */
     public ViewerRequest request() {
         return request;
     }
 
-    /** Its class. */
+    /** Class of the session. */
     public SessionType type() {
         return type;
     }
 
-    /** Its title. */
+    /** Title that is played. */
     public Title title() {
         return title;
     }
 
-    /** The rung in force. */
+    /** Current rung. */
     public int rung() {
         return rung;
     }
 
-    /** Where it stands. */
+    /** Current phase. */
     public SessionState.Phase phase() {
         return state.phase();
     }
 
-    /** True after it was answered "plays" and before its end. */
+    /** True from the answer "plays" until the session ends. */
     public boolean inPlay() {
         return state.isEstablished();
     }
 
-    /** Box that it plays at, or is set up at. */
+    /** Name of the box that plays the session or sets it up. */
     public String box() {
         return box;
     }
 
-    /** Key of its attempt at the box. */
+    /** Key of the session's attempt at the box. */
     public String attemptKey() {
-        return key;
+        return attemptKey;
     }
 
-    /** Why it is over, or null. */
+    /** Reason for the end of the session, or null while it is active. */
     public SessionEnd endReason() {
-        return end;
+        return endReason;
     }
 
-    /** How long to stay away before another try, when a move was turned away; 0 otherwise. */
+    /** Retry delay of a refusal, in milliseconds; 0 when nothing was refused. */
     public double retryAfterMs() {
         return retryAfterMs;
     }
 
-    /** Calls once when a session on the move plays again or is over. */
+    /** Runs an action once, when a moving session plays again or ends. */
     public void onChange(Runnable action) {
-        onChange.add(action);
+        changeListeners.add(action);
     }
 
-    void changed() {
-        List<Runnable> due = new ArrayList<>(onChange);
-        onChange.clear();
-        due.forEach(Runnable::run);
+    void notifyChanged() {
+        List<Runnable> actions = new ArrayList<>(changeListeners);
+        changeListeners.clear();
+        actions.forEach(Runnable::run);
     }
 }
--- a/session/src/main/java/spanrill/session/SessionCore.java
+++ b/session/src/main/java/spanrill/session/SessionCore.java
@@ -14,37 +14,37 @@
 import spanrill.decisions.TokenRequestTable;
 
 /**
- * Hosts one module: protocol events become the module's events, its actions become calls of the box side and
- * answers to viewers. It decides nothing about placement; what a token stands for and which step a session
- * may take are decided in {@code spanrill.decisions}.
+ * Hosts one decision module. Protocol events become the module's events; the module's actions become calls of the box
+ * client and answers to viewers. Placement is decided by the module alone. The rules in {@code spanrill.decisions}
+ * decide which request a token belongs to and which transitions a session may make.
  *
- * <p>The module is never entered from within one of its own calls: whatever happens meanwhile waits its turn.
+ * <p>The module is never re-entered from within its own calls: events that occur meanwhile are queued.
  */
 public final class SessionCore implements SessionControl.Actions {
-    /** Makes the module of a core. */
+    /** Creates the decision module of a core. */
     public interface ModuleFactory {
-        /** A module that acts by {@code actions}. */
+        /** Creates a module that calls {@code actions}. */
         SessionControl create(SessionControl.Settings settings, long seed, SessionControl.Actions actions);
     }
 
     /**
-     * What a core runs on.
+     * Environment of a core.
      *
-     * @param scheduler time and timers
-     * @param log where events go
-     * @param memory remembers paid tokens over the death of the process
-     * @param names makes public names of sessions, each once and hard to guess
-     * @param policy makes the module
+     * @param scheduler clock and timers
+     * @param log receives log events
+     * @param spentTokens persists the tokens of sessions that are paid for at set-up
+     * @param sessionIds generates public ids of sessions, unique and hard to guess
+     * @param moduleFactory creates the module
      */
     public record Host(
             Scheduler scheduler,
             EventSink log,
-            SpentTokenStore memory,
-            Supplier<String> names,
-            SessionCore.ModuleFactory policy) {
-        /** A host of the module itself. */
-        public Host(Scheduler scheduler, EventSink log, SpentTokenStore memory, Supplier<String> names) {
-            this(scheduler, log, memory, names, Control::new);
+            SpentTokenStore spentTokens,
+            Supplier<String> sessionIds,
+            ModuleFactory moduleFactory) {
+        /** Creates a host with the standard module, {@link Control}. */
+        public Host(Scheduler scheduler, EventSink log, SpentTokenStore spentTokens, Supplier<String> sessionIds) {
+            this(scheduler, log, spentTokens, sessionIds, Control::new);
         }
     }
 
@@ -53,78 +53,79 @@
     private final SessionControl control;
     private final TokenAdmission tokens;
     private final SessionTable table = new SessionTable();
-    private final SessionLifecycle lives;
+    private final SessionLifecycle lifecycle;
     private Map<String, Title> titles = Map.of();
     private Runnable onReady = () -> {};
-    private boolean listed;
+    private boolean serversKnown;
 
-    /** A core on a host; {@link #start} starts it. */
+    /** Creates a core, to be started with {@link #start}. */
     public SessionCore(CoreSettings settings, Host host) {
         log = host.log();
         executor = new SerialExecutor(host.scheduler(), log);
-        control = host.policy().create(settings.module(), settings.seed(), this);
-        tokens = new TokenAdmission(new TokenRequestTable(settings.tokens(), settings.sameMs()), host.memory());
-        lives = new SessionLifecycle(settings, control, executor, log, host.names(), tokens, table);
+        control = host.moduleFactory().create(settings.module(), settings.seed(), this);
+        tokens = new TokenAdmission(
+                new TokenRequestTable(settings.maxTokens(), settings.duplicateWindowMs()), host.spentTokens());
+        lifecycle = new SessionLifecycle(settings, control, executor, log, host.sessionIds(), tokens, table);
     }
 
-    /** A token remembered from before the process began; before {@link #start}. */
+    /** Restores a token that was persisted before the process started. Must be called before {@link #start}. */
     public void restoreToken(String tokenId, boolean used, double expiresAt) {
         tokens.restore(tokenId, used, expiresAt);
     }
 
-    /** Starts the module, with the box side that carries out what it decides. */
-    public void start(BoxClient side) {
+    /** Starts the module. {@code boxes} carries out its decisions. */
+    public void start(BoxClient boxes) {
         executor.execute(control::start);
-        lives.begin(side);
+        lifecycle.start(boxes);
     }
 
-    // ---- the list
+    // ---- servers and titles
 
-    /** A list of boxes came, or failed to. */
+    /** Passes on a list of boxes, or the failure to get one. */
     public void updateServers(ListKind kind, List<Server> servers) {
-        listed |= kind != ListKind.FAILED;
+        serversKnown |= kind != ListKind.FAILED;
         executor.execute(now -> control.servers(now, kind, servers));
-        lookWhetherReady();
+        notifyIfReady();
     }
 
-    /** The catalogue came. */
+    /** Replaces the catalogue of titles. */
     public void updateCatalogue(Map<String, Title> catalogue) {
         titles = catalogue;
-        lookWhetherReady();
+        notifyIfReady();
     }
 
-    /** Calls once, as soon as boxes and titles are known so that viewers can be served. */
+    /** Runs an action once, as soon as boxes and titles are known and viewers can be served. */
     public void onReady(Runnable action) {
         onReady = action;
-        lookWhetherReady();
+        notifyIfReady();
     }
 
     private boolean ready() {
-        return listed && !titles.isEmpty();
+        return serversKnown && !titles.isEmpty();
     }
 
-    private void lookWhetherReady() {
+    private void notifyIfReady() {
         if (ready()) {
-            Runnable due = onReady;
+            Runnable action = onReady;
             onReady = () -> {};
-            due.run();
+            action.run();
         }
     }
 
     // ---- viewers
 
-    /** A viewer asks. The call is answered, at once or later. */
-    public void requestSession(ViewerRequest wish, ViewerCall call) {
-        Title title = titles.get(wish.title());
+    /** Handles a viewer's request. The call is answered at once or later. */
+    public void requestSession(ViewerRequest request, ViewerCall call) {
+        Title title = titles.get(request.title());
         if (title == null) {
             call.onUnusable(ready() ? ViewerCall.UnusableReason.NO_TITLE : ViewerCall.UnusableReason.NOT_READY);
             return;
         }
         double now = executor.now();
-        TokenRequestTable.Verdict verdict = tokens.offer(now, wish.tokenId());
+        TokenRequestTable.Verdict verdict = tokens.evaluate(now, request.tokenId());
         switch (verdict.kind()) {
-            case NEW -> lives.take(now, wish, title, call, verdict.refusedBefore());
-            case JOIN -> lives.join(table.live(verdict.session()), call);
+            case NEW -> lifecycle.createSession(now, request, title, call, verdict.refusedBefore());
+            case JOIN -> lifecycle.join(table.findActive(verdict.session()), call);
             case REFUSED -> call.onRefused(verdict.retryAfterMs());
             case FAILED -> call.onFailed();
             case USED -> call.onUnusable(ViewerCall.UnusableReason.USED);
@@ -132,90 +133,90 @@
         }
     }
 
-    /** A viewer that waited for the answer to its call went away. */
+    /** Cancels a call whose viewer disconnected before the answer. */
     public void cancelCall(ViewerCall call) {
-        lives.left(call);
+        lifecycle.cancelCall(call);
     }
 
-    /** The session of this public name, in play or over a short while ago, or null. */
+    /** Returns the session with this public id, active or recently ended, or null. */
     public Session findSession(String id) {
-        return table.known(executor.now(), id);
+        return table.findActiveOrEnded(executor.now(), id);
     }
 
-    /** A sign of life of a session's player. */
+    /** Records activity of a session's player. */
     public void recordActivity(Session session) {
-        lives.seen(session);
+        lifecycle.recordActivity(session);
     }
 
-    /** Its player told how it fares. */
+    /** Records a player's report of its buffer state. */
     public void recordPlayerReport(Session session, boolean starved) {
-        session.starved += starved ? 1 : 0;
+        session.starvedReports += starved ? 1 : 0;
     }
 
-    /** Its viewer ended it. */
+    /** Ends a session at its viewer's request. */
     public void endSession(Session session) {
-        executor.execute(now -> lives.end(now, session, SessionEnd.ENDED));
+        executor.execute(now -> lifecycle.end(now, session, SessionEnd.ENDED));
     }
 
     // ---- boxes
 
-    /** A note of a box. */
-    public void handleNote(String box, String key, NoteKind kind, double value) {
-        Session session = table.ofKey(key);
+    /** Passes on a note from a box about one of its sessions. */
+    public void handleNote(String box, String attemptKey, NoteKind kind, double value) {
+        Session session = table.findByAttemptKey(attemptKey);
         if (session != null && session.phase() == Phase.PLAYING) {
             executor.execute(now -> {
-                if (session.phase() == Phase.PLAYING && key.equals(session.key)) {
-                    control.note(now, session.moduleRequest, box, kind, value);
+                if (session.phase() == Phase.PLAYING && attemptKey.equals(session.attemptKey)) {
+                    control.note(now, session.moduleRequestId, box, kind, value);
                 }
             });
         }
     }
 
-    /** The box ended an attempt, or doesn't know it any more. */
-    public void handleAttemptLost(String key, SessionEnd why) {
-        executor.execute(now -> lives.lose(now, table.ofKey(key), why));
+    /** Ends the session of an attempt that its box has ended or no longer knows. */
+    public void handleAttemptLost(String attemptKey, SessionEnd reason) {
+        executor.execute(now -> lifecycle.lose(now, table.findByAttemptKey(attemptKey), reason));
     }
 
-    /** A box went away with all it played. */
-    public void handleBoxLost(String box, SessionEnd why) {
-        executor.execute(now -> table.playingAt(box).forEach(session -> lives.lose(now, session, why)));
+    /** Ends all sessions of a box that was lost. */
+    public void handleBoxLost(String box, SessionEnd reason) {
+        executor.execute(now -> table.playingAt(box).forEach(session -> lifecycle.lose(now, session, reason)));
     }
 
-    /** True while sessions play or are set up at a box. */
+    /** Whether any session plays or is set up at a box. */
     public boolean hasSessionsAt(String box) {
-        return table.anyAt(box);
+        return table.hasSessionsAt(box);
     }
 
-    /** Sessions held. */
+    /** Number of active sessions. */
     public int sessionCount() {
         return table.size();
     }
 
-    // ---- what the module asks
+    // ---- actions of the module
 
     @Override
-    public void send(String request, double until, String server) {
-        lives.send(table.ofModule(request), until, server);
+    public void send(String moduleRequestId, double until, String server) {
+        lifecycle.send(table.findByModuleRequest(moduleRequestId), until, server);
     }
 
     @Override
-    public void rate(String request, int rung) {
-        lives.rate(table.ofModule(request), rung);
+    public void rate(String moduleRequestId, int rung) {
+        lifecycle.setRung(table.findByModuleRequest(moduleRequestId), rung);
     }
 
     @Override
-    public void move(String request) {
-        lives.move(table.ofModule(request));
+    public void move(String moduleRequestId) {
+        lifecycle.move(table.findByModuleRequest(moduleRequestId));
     }
 
     @Override
-    public void refuse(String request, double retryAfterMs) {
-        lives.answer(table.ofModule(request), Event.REFUSE, retryAfterMs);
+    public void refuse(String moduleRequestId, double retryAfterMs) {
+        lifecycle.answer(table.findByModuleRequest(moduleRequestId), Event.REFUSE, retryAfterMs);
     }
 
     @Override
-    public void fail(String request) {
-        lives.answer(table.ofModule(request), Event.FAIL, 0);
+    public void fail(String moduleRequestId) {
+        lifecycle.answer(table.findByModuleRequest(moduleRequestId), Event.FAIL, 0);
     }
 
     @Override
--- a/session/src/main/java/spanrill/session/SessionLifecycle.java
+++ b/session/src/main/java/spanrill/session/SessionLifecycle.java
@@ -15,18 +15,17 @@
 import spanrill.decisions.SessionState.Phase;
 
 /**
- * The life of each session, from the request to its end: who waits for its answer, what it is told, when it
- * moves and when it is over. Which step a session may take is decided by its state, where it goes by the
- * module.
+ * The lifecycle of each session from its request to its end: the calls that wait for its answer, its attempts and its
+ * moves. The session's state decides which transitions it may make, the module decides where it is placed.
  */
 final class SessionLifecycle implements Attempts.Owner {
-    private static final double IDLE_LOOK_MS = 250;
+    private static final double IDLE_CHECK_INTERVAL_MS = 250;
 
     private final CoreSettings settings;
     private final SessionControl control;
     private final SerialExecutor executor;
     private final EventSink log;
-    private final Supplier<String> names;
+    private final Supplier<String> sessionIds;
     private final TokenAdmission tokens;
     private final SessionTable table;
     private final Attempts attempts;
@@ -39,122 +38,130 @@
             SessionControl control,
             SerialExecutor executor,
             EventSink log,
-            Supplier<String> names,
+            Supplier<String> sessionIds,
             TokenAdmission tokens,
             SessionTable table) {
         this.settings = settings;
         this.control = control;
         this.executor = executor;
         this.log = log;
-        this.names = names;
+        this.sessionIds = sessionIds;
         this.tokens = tokens;
         this.table = table;
         attempts = new Attempts(executor, table, log, this);
         idle = new IdleSessionTracker(settings.idleMs());
     }
 
-    void begin(BoxClient side) {
-        boxes = side;
-        attempts.begin(side);
-        executor.scheduleRepeatedly(IDLE_LOOK_MS, this::lookForIdle);
+    void start(BoxClient boxClient) {
+        boxes = boxClient;
+        attempts.start(boxClient);
+        executor.scheduleRepeatedly(IDLE_CHECK_INTERVAL_MS, this::endIdleSessions);
     }
 
     // ---- the request
 
-    /** A new request is taken. */
-    void take(double now, ViewerRequest wish, Title title, ViewerCall call, boolean again) {
-        SessionType type = settings.types().get(wish.className());
-        Session session = new Session(names.get(), wish, type, title, now);
-        await(session, call);
+    /** Creates the session of a new request and, once its token is recorded, requests a placement. */
+    void createSession(double now, ViewerRequest request, Title title, ViewerCall call, boolean returning) {
+        SessionType type = settings.types().get(request.className());
+        Session session = new Session(sessionIds.get(), request, type, title, now);
+        addPendingCall(session, call);
         table.add(session);
-        AnswerDeadline time = type.answerTime();
-        session.net = executor.schedule(time.guardDelayMs(now, wish.arrivedAt()), at -> overdue(at, session));
-        tokens.taken(
+        AnswerDeadline deadline = type.answerTime();
+        session.deadlineGuard = executor.schedule(
+                deadline.guardDelayMs(now, request.arrivedAt()), callbackAt -> answerOverdue(callbackAt, session));
+        tokens.recordRequest(
                 session,
-                safe -> executor.execute(at -> {
+                mayBegin -> executor.execute(callbackAt -> {
                     if (!session.state.isAnswerPending()) {
                         return;
                     }
-                    if (safe) {
-                        ask(at, session, time.remainingMs(at, wish.arrivedAt()), false, again);
+                    if (mayBegin) {
+                        requestPlacement(
+                                callbackAt,
+                                session,
+                                deadline.remainingMs(callbackAt, request.arrivedAt()),
+                                false,
+                                returning);
                     } else {
                         answer(session, Event.REFUSE, settings.maxRetryAfterMs());
                     }
                 }));
     }
 
-    /** Another request of the same token. */
+    /** Answers another request with the token of a session, now or together with the first. */
     void join(Session session, ViewerCall call) {
         if (session.state.isAnswerPending()) {
-            await(session, call);
+            addPendingCall(session, call);
         } else {
             call.onPlaying(session);
         }
     }
 
-    private void await(Session session, ViewerCall call) {
-        session.waiting.add(call);
+    private void addPendingCall(Session session, ViewerCall call) {
+        session.pendingCalls.add(call);
         calls.put(call, session);
     }
 
-    private void ask(double now, Session session, double left, boolean moved, boolean again) {
-        table.ask(session, session.id() + "-" + session.moves);
-        ViewerRequest wish = session.request();
+    private void requestPlacement(double now, Session session, double remainingMs, boolean moved, boolean returning) {
+        table.bindModuleRequest(session, session.id() + "-" + session.moves);
+        ViewerRequest request = session.request();
         control.request(
                 now,
                 new SessionControl.Request(
-                        session.moduleRequest,
-                        wish.className(),
-                        wish.tenant(),
-                        wish.viewer(),
-                        wish.title(),
-                        left,
+                        session.moduleRequestId,
+                        request.className(),
+                        request.tenant(),
+                        request.viewer(),
+                        request.title(),
+                        remainingMs,
                         session.title().home(),
                         session.title().copies(),
-                        wish.top(),
+                        request.top(),
                         moved,
-                        moved || again));
+                        moved || returning));
     }
 
-    /** A viewer that waited for the answer to its call went away. */
-    void left(ViewerCall call) {
+    /** Cancels a call whose viewer disconnected before the answer. The last such call ends the session. */
+    void cancelCall(ViewerCall call) {
         Session session = calls.remove(call);
         if (session == null) {
             return;
         }
         executor.execute(now -> {
-            if (session.waiting.remove(call) && session.waiting.isEmpty() && session.state.isAnswerPending()) {
-                attempts.callOff(session);
+            if (session.pendingCalls.remove(call)
+                    && session.pendingCalls.isEmpty()
+                    && session.state.isAnswerPending()) {
+                attempts.cancel(session);
                 session.state.apply(Event.LEAVE);
                 close(now, session, SessionEnd.LEFT);
-                control.gone(now, session.moduleRequest);
+                control.gone(now, session.moduleRequestId);
             }
         });
     }
 
-    /** The core's own answer when the module's is overdue: a net that should never be needed. */
-    private void overdue(double now, Session session) {
+    /** Answers in the module's place when its answer is overdue. This indicates a fault in the module. */
+    private void answerOverdue(double now, Session session) {
         if (!session.state.isAnswerPending()) {
             return;
         }
         log.error("answer.overdue", null, "session", session.id(), "phase", session.phase());
-        attempts.callOff(session);
+        attempts.cancel(session);
         answer(session, session.state.allows(Event.REFUSE) ? Event.REFUSE : Event.FAIL, 0);
-        control.gone(now, session.moduleRequest);
+        control.gone(now, session.moduleRequestId);
     }
 
-    /** The module's final answer, or the core's in its place. */
+    /** Gives the final answer of the module, or of the core in its place. */
     void answer(Session session, Event event, double retryAfterMs) {
         if (session == null) {
             return;
         }
-        boolean owed = session.state.isAnswerPending();
+        boolean wasPending = session.state.isAnswerPending();
         session.state.apply(event);
         session.retryAfterMs = retryAfterMs;
-        List<ViewerCall> due = answered(session);
+        List<ViewerCall> pendingCalls = takePendingCalls(session);
         boolean refused = event == Event.REFUSE;
-        close(executor.now(), session, SessionEnd.fromFinalAnswer(refused, owed));
-        for (ViewerCall call : due) {
+        close(executor.now(), session, SessionEnd.fromFinalAnswer(refused, wasPending));
+        for (ViewerCall call : pendingCalls) {
             if (refused) {
                 call.onRefused(retryAfterMs);
             } else {
@@ -163,43 +170,43 @@
         }
     }
 
-    /** The calls that wait for a session's answer, which is given now. */
-    private List<ViewerCall> answered(Session session) {
-        List<ViewerCall> waiting = new ArrayList<>(session.waiting);
-        session.waiting.clear();
-        waiting.forEach(calls::remove);
-        return waiting;
+    /** Removes and returns the calls that wait for a session's answer. */
+    private List<ViewerCall> takePendingCalls(Session session) {
+        List<ViewerCall> pendingCalls = new ArrayList<>(session.pendingCalls);
+        session.pendingCalls.clear();
+        pendingCalls.forEach(calls::remove);
+        return pendingCalls;
     }
 
     // ---- attempts
 
-    /** The module sends a session to a box. */
+    /** Sends an attempt to the box that the module chose. */
     void send(Session session, double until, String box) {
         attempts.send(session, until, box);
     }
 
-    /** The module sets a rung. */
-    void rate(Session session, int rung) {
+    /** Sets the rung that the module chose. */
+    void setRung(Session session, int rung) {
         if (session != null) {
             session.rung = rung;
-            attempts.rate(session);
+            attempts.sendRung(session);
         }
     }
 
     @Override
-    public void ended(double now, Session session, Outcome outcome, Load load) {
-        control.ended(now, session.moduleRequest, false, outcome, session.box, load);
+    public void onAttemptEnded(double now, Session session, Outcome outcome, Load load) {
+        control.ended(now, session.moduleRequestId, false, outcome, session.box, load);
     }
 
     @Override
-    public void plays(double now, Session session, double tookMs) {
+    public void onPlaying(double now, Session session, double tookMs) {
         boolean first = session.state.isAnswerPending();
         session.state.apply(Event.PLAYS);
         idle.touch(now, session.id());
         if (first) {
-            session.firstKey = session.key;
-            session.net.cancel();
-            tokens.plays(session);
+            session.firstAttemptKey = session.attemptKey;
+            session.deadlineGuard.cancel();
+            tokens.recordPlaying(session);
             log.info(
                     "session.plays",
                     "session",
@@ -215,109 +222,109 @@
                     "attempts",
                     session.state.attempts(),
                     "ms",
-                    Math.round(now - session.takenAt));
-            answered(session).forEach(call -> call.onPlaying(session));
+                    Math.round(now - session.receivedAt));
+            takePendingCalls(session).forEach(call -> call.onPlaying(session));
         }
-        control.playing(now, session.moduleRequest, session.box, tookMs);
-        session.changed();
+        control.playing(now, session.moduleRequestId, session.box, tookMs);
+        session.notifyChanged();
     }
 
     // ---- moves
 
-    /** The module takes a playing session off its box. */
+    /** Takes a playing session off its box, to be placed elsewhere. */
     void move(Session session) {
         if (session == null || session.phase() != Phase.PLAYING) {
-            // It ended a moment ago; the module hears of that next.
+            // The session has just ended. The event that reports this to the module is queued.
             return;
         }
         session.state.apply(Event.MOVE);
         String box = session.box;
-        String request = session.moduleRequest;
-        table.forgetModule(request);
-        table.forgetKey(session.key);
+        String moduleRequestId = session.moduleRequestId;
+        table.unbindModuleRequest(moduleRequestId);
+        table.unbindAttempt(session.attemptKey);
         session.moves++;
         int move = session.moves;
         log.info("session.moves", "session", session.id(), "from", box);
-        executor.execute(now -> control.ended(now, request, true, Outcome.CANCELLED, box, null));
-        boxes.release(box, session.key, load -> comeBack(session, move));
-        executor.schedule(settings.moveReturnMs(), now -> comeBack(session, move));
+        executor.execute(now -> control.ended(now, moduleRequestId, true, Outcome.CANCELLED, box, null));
+        boxes.release(box, session.attemptKey, load -> returnFromMove(session, move));
+        executor.schedule(settings.moveReturnMs(), now -> returnFromMove(session, move));
     }
 
-    /** The old box gave a moved session up, or had its time to: it asks anew, once. */
-    private void comeBack(Session session, int move) {
+    /** Requests a new placement for a moved session, once: when its old box has answered or its time is up. */
+    private void returnFromMove(Session session, int move) {
         executor.execute(now -> {
             if (session.phase() == Phase.MOVING
                     && session.moves == move
-                    && !(session.id() + "-" + move).equals(session.moduleRequest)) {
-                ask(now, session, session.type().answerTime().totalMs(), true, true);
+                    && !(session.id() + "-" + move).equals(session.moduleRequestId)) {
+                requestPlacement(now, session, session.type().answerTime().totalMs(), true, true);
             }
         });
     }
 
-    // ---- the end
+    // ---- end of a session
 
-    /** A sign of life of a session's player. */
-    void seen(Session session) {
+    /** Records activity of a session's player. */
+    void recordActivity(Session session) {
         if (session.state.isEstablished()) {
             idle.touch(executor.now(), session.id());
         }
     }
 
-    private void lookForIdle(double now) {
+    private void endIdleSessions(double now) {
         for (String id : idle.removeIdle(now)) {
-            Session session = table.live(id);
+            Session session = table.findActive(id);
             if (session != null) {
                 end(now, session, SessionEnd.IDLE);
             }
         }
     }
 
-    /** It is over on the viewer's side. */
-    void end(double now, Session session, SessionEnd why) {
-        String request = session.moduleRequest;
+    /** Ends a session from the viewer's side and releases it at its box. */
+    void end(double now, Session session, SessionEnd reason) {
+        String moduleRequestId = session.moduleRequestId;
         switch (session.phase()) {
             case PLAYING -> {
                 session.state.apply(Event.END);
                 String box = session.box;
-                String key = session.key;
-                close(now, session, why);
+                String attemptKey = session.attemptKey;
+                close(now, session, reason);
                 boxes.release(
                         box,
-                        key,
-                        load -> executor.execute(at -> {
-                            table.forgetModule(request);
-                            control.ended(at, request, true, Outcome.OK, box, load);
+                        attemptKey,
+                        load -> executor.execute(callbackAt -> {
+                            table.unbindModuleRequest(moduleRequestId);
+                            control.ended(callbackAt, moduleRequestId, true, Outcome.OK, box, load);
                         }));
             }
             case MOVING, MOVING_SET_UP -> {
-                attempts.callOff(session);
+                attempts.cancel(session);
                 session.state.apply(Event.END);
-                close(now, session, why);
-                control.gone(now, request);
+                close(now, session, reason);
+                control.gone(now, moduleRequestId);
             }
             default -> {}
         }
     }
 
-    /** It is over on the box's side. */
-    void lose(double now, Session session, SessionEnd why) {
+    /** Ends a session that its box has lost or ended. */
+    void lose(double now, Session session, SessionEnd reason) {
         if (session == null || session.phase() != Phase.PLAYING) {
             return;
         }
-        String request = session.moduleRequest;
+        String moduleRequestId = session.moduleRequestId;
         String box = session.box;
         session.state.apply(Event.END);
-        close(now, session, why);
-        control.ended(now, request, true, Outcome.RESET, box, null);
+        close(now, session, reason);
+        control.ended(now, moduleRequestId, true, Outcome.RESET, box, null);
     }
 
-    /** Forgets a session that is over; its token's fate is remembered. */
-    private void close(double now, Session session, SessionEnd why) {
-        session.end = why;
-        session.net.cancel();
-        table.over(now, session);
+    /** Removes an ended session and records the state of its token. */
+    private void close(double now, Session session, SessionEnd reason) {
+        session.endReason = reason;
+        session.deadlineGuard.cancel();
+        table.markEnded(now, session);
         idle.remove(session.id());
-        tokens.over(now, session);
+        tokens.recordEnd(now, session);
         log.info(
                 "session.over",
                 "session",
@@ -325,7 +332,7 @@
                 "class",
                 session.request().className(),
                 "why",
-                why.wireName(),
+                reason.wireName(),
                 "answer",
                 String.valueOf(session.state.answer()),
                 "attempts",
@@ -333,9 +340,9 @@
                 "moves",
                 session.moves,
                 "starved",
-                session.starved,
+                session.starvedReports,
                 "ms",
-                Math.round(now - session.takenAt));
-        session.changed();
+                Math.round(now - session.receivedAt));
+        session.notifyChanged();
     }
 }
--- a/session/src/main/java/spanrill/session/SessionTable.java
+++ b/session/src/main/java/spanrill/session/SessionTable.java
@@ -7,81 +7,81 @@
 import spanrill.decisions.ExpiringMap;
 import spanrill.decisions.SessionState.Phase;
 
-/** The sessions of a core, found by their public name, by the module's name for them, or by attempt key. */
+/** The sessions of a core, indexed by public id, by the module's request id and by attempt key. */
 final class SessionTable {
-    /** Sessions that are over are remembered so long, to tell their players why. */
-    private static final double OVER_KEPT_MS = 120_000;
+    /** Ended sessions are kept for this time, so that their players can be told the reason. */
+    private static final double ENDED_RETENTION_MS = 120_000;
 
-    private static final int MOST_OVER = 20_000;
+    private static final int MAX_ENDED = 20_000;
 
     private final Map<String, Session> byId = new HashMap<>();
-    private final Map<String, Session> byModule = new HashMap<>();
-    private final Map<String, Session> byKey = new HashMap<>();
-    private final ExpiringMap<Session> over = new ExpiringMap<>(OVER_KEPT_MS, MOST_OVER);
+    private final Map<String, Session> byModuleRequest = new HashMap<>();
+    private final Map<String, Session> byAttemptKey = new HashMap<>();
+    private final ExpiringMap<Session> recentlyEnded = new ExpiringMap<>(ENDED_RETENTION_MS, MAX_ENDED);
 
     void add(Session session) {
         byId.put(session.id(), session);
     }
 
-    /** The module knows it by this name from now on. */
-    void ask(Session session, String moduleRequest) {
-        session.moduleRequest = moduleRequest;
-        byModule.put(moduleRequest, session);
+    /** Registers the request id that the module uses for a session from now on. */
+    void bindModuleRequest(Session session, String moduleRequestId) {
+        session.moduleRequestId = moduleRequestId;
+        byModuleRequest.put(moduleRequestId, session);
     }
 
-    /** An attempt of it is out under this key. */
-    void attempt(Session session, String key) {
-        session.key = key;
-        byKey.put(key, session);
+    /** Registers the key of a session's open attempt. */
+    void bindAttempt(Session session, String attemptKey) {
+        session.attemptKey = attemptKey;
+        byAttemptKey.put(attemptKey, session);
     }
 
-    void forgetKey(String key) {
-        byKey.remove(key);
+    void unbindAttempt(String attemptKey) {
+        byAttemptKey.remove(attemptKey);
     }
 
-    void forgetModule(String request) {
-        byModule.remove(request);
+    void unbindModuleRequest(String moduleRequestId) {
+        byModuleRequest.remove(moduleRequestId);
     }
 
-    /** It is over. */
-    void over(double now, Session session) {
+    /** Removes an ended session from the indexes and keeps it for a while. */
+    void markEnded(double now, Session session) {
         byId.remove(session.id());
-        byKey.remove(session.key);
-        byModule.remove(session.moduleRequest);
-        over.put(now, session.id(), session);
+        byAttemptKey.remove(session.attemptKey);
+        byModuleRequest.remove(session.moduleRequestId);
+        recentlyEnded.put(now, session.id(), session);
     }
 
-    Session live(String id) {
+    Session findActive(String id) {
         return byId.get(id);
     }
 
-    /** In play or over a short while ago, or null. */
-    Session known(double now, String id) {
+    /** Returns an active or recently ended session, or null. */
+    Session findActiveOrEnded(double now, String id) {
         Session session = byId.get(id);
-        return session == null ? over.get(now, id) : session;
+        return session == null ? recentlyEnded.get(now, id) : session;
     }
 
-    Session ofModule(String request) {
-        return byModule.get(request);
+    Session findByModuleRequest(String moduleRequestId) {
+        return byModuleRequest.get(moduleRequestId);
     }
 
-    Session ofKey(String key) {
-        return byKey.get(key);
+    Session findByAttemptKey(String attemptKey) {
+        return byAttemptKey.get(attemptKey);
     }
 
-    /** Those that play at a box. */
+    /** Returns the sessions that play at a box. */
     List<Session> playingAt(String box) {
-        List<Session> there = new ArrayList<>();
-        for (Session session : byKey.values()) {
+        List<Session> playing = new ArrayList<>();
+        for (Session session : byAttemptKey.values()) {
             if (box.equals(session.box) && session.phase() == Phase.PLAYING) {
-                there.add(session);
+                playing.add(session);
             }
         }
-        return there;
+        return playing;
     }
 
-    boolean anyAt(String box) {
-        return byKey.values().stream().anyMatch(session -> box.equals(session.box));
+    boolean hasSessionsAt(String box) {
+        return byAttemptKey.values().stream().anyMatch(session -> box.equals(session.box));
     }
 
     int size() {
--- a/session/src/main/java/spanrill/session/SessionType.java
+++ b/session/src/main/java/spanrill/session/SessionType.java
@@ -5,9 +5,9 @@
 /**
  * A class of session, as the core and the viewer sides need it.
  *
- * @param once paid for at set-up: set up once at most
+ * @param once true when a session is paid for at set-up and must be set up at most once
  * @param floor lowest rung
- * @param scale its rates over the ladder's
- * @param answerTime when its answers are due
+ * @param scale rates of the class as a multiple of those of the ladder
+ * @param answerTime when answers to requests of the class are due
  */
 public record SessionType(boolean once, int floor, double scale, AnswerDeadline answerTime) {}
--- a/session/src/main/java/spanrill/session/SpentTokenStore.java
+++ b/session/src/main/java/spanrill/session/SpentTokenStore.java
@@ -2,38 +2,39 @@
 
 import java.util.function.Consumer;
 
-/** Remembers tokens of paid sessions over the death of the process. Called on the front's loop. */
+/** Persists the tokens of sessions that are paid for at set-up, across restarts. Called on the front's event loop. */
 public interface SpentTokenStore {
-    /** What a token came to. */
+    /** State of a token. */
     enum TokenState {
-        /** Its request was taken: a set-up may have been sent. */
+        /** Its request was accepted. A set-up may have been sent. */
         TAKEN,
-        /** It may have run, and its viewer was not told that it plays. */
+        /** An attempt may have run, but the viewer was not told that the session plays. */
         FAILED,
-        /** It played. */
+        /** Its session played. */
         USED
     }
 
     /**
-     * A token's request was taken.
+     * Records that the request of a token was accepted.
      *
-     * @param then called on the loop once that is safe on disk, with true; with false when it can't be
+     * @param onStored called on the loop: with true once the record is safely on disk, with false when it can't be
+     *     written
      */
-    void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then);
+    void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> onStored);
 
-    /** What it came to; null: nothing ran, it may be forgotten. Needs not be safe at once. */
-    void recordState(String tokenId, SpentTokenStore.TokenState fate);
+    /** Records the state of a token. Null: nothing ran and the token is removed. Need not be on disk at once. */
+    void recordState(String tokenId, TokenState state);
 
-    /** Remembers nothing. */
+    /** Returns a store that keeps nothing. */
     static SpentTokenStore none() {
         return new SpentTokenStore() {
             @Override
-            public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then) {
-                then.accept(true);
+            public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> onStored) {
+                onStored.accept(true);
             }
 
             @Override
-            public void recordState(String tokenId, SpentTokenStore.TokenState fate) {}
+            public void recordState(String tokenId, TokenState state) {}
         };
     }
 }
--- a/session/src/main/java/spanrill/session/TokenAdmission.java
+++ b/session/src/main/java/spanrill/session/TokenAdmission.java
@@ -5,58 +5,57 @@
 import spanrill.decisions.TokenRequestTable;
 
 /**
- * What a core knows of tokens: which request one stands for, decided by {@link TokenRequestTable}, and for paid ones
- * what must be remembered over the death of the process.
+ * Matches tokens to requests with a {@link TokenRequestTable}, and persists the tokens of sessions that are paid for at
+ * set-up.
  */
 final class TokenAdmission {
-    private final TokenRequestTable admission;
-    private final SpentTokenStore memory;
+    private final TokenRequestTable requests;
+    private final SpentTokenStore spentTokens;
 
-    TokenAdmission(TokenRequestTable admission, SpentTokenStore memory) {
-        this.admission = admission;
-        this.memory = memory;
+    TokenAdmission(TokenRequestTable requests, SpentTokenStore spentTokens) {
+        this.requests = requests;
+        this.spentTokens = spentTokens;
     }
 
     void restore(String tokenId, boolean used, double expiresAt) {
-        admission.restore(tokenId, used, expiresAt);
+        requests.restore(tokenId, used, expiresAt);
     }
 
-    TokenRequestTable.Verdict offer(double now, String tokenId) {
-        return admission.evaluate(now, tokenId);
+    TokenRequestTable.Verdict evaluate(double now, String tokenId) {
+        return requests.evaluate(now, tokenId);
     }
 
     /**
-     * A request was taken as a session.
+     * Records that the request of a token became a session.
      *
-     * @param then told whether a set-up may be sent: what may spend must be remembered before it does, so
-     *     that
-     *     a front killed in between doesn't take the token again
+     * @param onStored receives whether a set-up may be sent. A token must be on disk before a set-up can spend it, so
+     *     that a front that is killed in between does not accept the token again after its restart
      */
-    void taken(Session session, Consumer<Boolean> then) {
-        ViewerRequest wish = session.request();
-        admission.assignSession(wish.tokenId(), session.id(), session.type().once(), wish.expiresAt());
+    void recordRequest(Session session, Consumer<Boolean> onStored) {
+        ViewerRequest request = session.request();
+        requests.assignSession(request.tokenId(), session.id(), session.type().once(), request.expiresAt());
         if (session.type().once()) {
-            memory.recordTaken(wish.tokenId(), wish.expiresAt(), then);
+            spentTokens.recordTaken(request.tokenId(), request.expiresAt(), onStored);
         } else {
-            then.accept(true);
+            onStored.accept(true);
         }
     }
 
-    /** A session plays for the first time. */
-    void plays(Session session) {
+    /** Records that a session plays for the first time. */
+    void recordPlaying(Session session) {
         if (session.type().once()) {
-            memory.recordState(session.request().tokenId(), SpentTokenStore.TokenState.USED);
+            spentTokens.recordState(session.request().tokenId(), SpentTokenStore.TokenState.USED);
         }
     }
 
-    /** A session is over. */
-    void over(double now, Session session) {
+    /** Records the end of a session. */
+    void recordEnd(double now, Session session) {
         boolean mayHaveRun = session.state.mayHaveRun();
         Answer answer = session.state.answer();
         String tokenId = session.request().tokenId();
-        admission.endSession(now, tokenId, answer, mayHaveRun, session.retryAfterMs);
+        requests.endSession(now, tokenId, answer, mayHaveRun, session.retryAfterMs);
         if (session.type().once()) {
-            memory.recordState(
+            spentTokens.recordState(
                     tokenId,
                     answer == Answer.PLAYS
                             ? SpentTokenStore.TokenState.USED
--- a/session/src/main/java/spanrill/session/ViewerCall.java
+++ b/session/src/main/java/spanrill/session/ViewerCall.java
@@ -1,32 +1,32 @@
 package spanrill.session;
 
 /**
- * One request at a viewer side that waits for its answer. Exactly one of {@link #onPlaying}, {@link #onRefused},
- * {@link #onFailed} and {@link #onUnusable} is called, once, on the front's loop. A viewer side whose viewer goes
- * away first tells {@link SessionCore#cancelCall} and is called no more.
+ * One call of a viewer that waits for its answer. Exactly one of {@link #onPlaying}, {@link #onRefused},
+ * {@link #onFailed} and {@link #onUnusable} is called, once, on the front's event loop. None is called after
+ * {@link SessionCore#cancelCall}, which a viewer side uses when its viewer disconnects before the answer.
  */
 public interface ViewerCall {
     /** The session plays. */
     void onPlaying(Session session);
 
-    /** Turned away: a later try is harmless. */
+    /** The request is refused. The viewer may safely try again after the delay. */
     void onRefused(double retryAfterMs);
 
-    /** Failed, with no assurance about its effect. */
+    /** The request failed. An attempt may have taken effect. */
     void onFailed();
 
-    /** No request was made of it: its token stands for nothing any more, or there is no room. */
-    void onUnusable(ViewerCall.UnusableReason why);
+    /** The call did not become a request, because its token or title can't be used now. */
+    void onUnusable(UnusableReason reason);
 
-    /** Why a token can't be used. */
+    /** Reason why a call did not become a request. */
     enum UnusableReason {
-        /** Its session is over. */
+        /** The session of the token has ended. */
         USED,
-        /** Too many tokens are remembered: come later. */
+        /** The maximum number of tokens is remembered. The viewer may try again later. */
         NO_ROOM,
-        /** No such title, as far as this front knows. */
+        /** The title is not in this front's catalogue. */
         NO_TITLE,
-        /** No list of boxes and titles yet. */
+        /** The front has not received its list of boxes and titles yet. */
         NOT_READY
     }
 }
--- a/session/src/main/java/spanrill/session/VirtualTimeScheduler.java
+++ b/session/src/main/java/spanrill/session/VirtualTimeScheduler.java
@@ -3,21 +3,21 @@
 import java.util.Arrays;
 
 /**
- * Events of a run in virtual time: the earliest first, of equal times the one set first. A binary heap on
- * arrays, so that millions of events cost no object of their own beside the action.
+ * Runs events in virtual time, in order of their time and then of their scheduling. A binary heap in an array, so that
+ * each of millions of events costs only one entry beside its action.
  *
- * <p>A cancelled event stays until its time and is passed over then.
+ * <p>A cancelled event stays in the heap until its time and is skipped then.
  */
 public final class VirtualTimeScheduler implements Scheduler {
-    /** An event that was set. */
+    /** A scheduled event. */
     public static final class Entry implements Timer {
-        private final double at;
-        private final long order;
+        private final double dueAt;
+        private final long sequence;
         private Runnable action;
 
-        private Entry(double at, long order, Runnable action) {
-            this.at = at;
-            this.order = order;
+        private Entry(double dueAt, long sequence, Runnable action) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
             this.action = action;
         }
 
@@ -27,48 +27,48 @@
         }
 
         private boolean before(Entry other) {
-            return at < other.at || (at == other.at && order < other.order);
+            return dueAt < other.dueAt || (dueAt == other.dueAt && sequence < other.sequence);
         }
     }
 
     private Entry[] heap = new Entry[1024];
     private int size;
     private double now;
-    private long orders;
-    private long ran;
+    private long nextSequence;
+    private long executed;
 
     @Override
     public double now() {
         return now;
     }
 
-    /** Events that ran. */
+    /** Number of events that were executed. */
     public long executedCount() {
-        return ran;
+        return executed;
     }
 
     @Override
-    public Entry schedule(double ms, Runnable action) {
-        Entry entry = new Entry(now + Math.max(0, ms), orders++, action);
+    public Entry schedule(double delayMs, Runnable action) {
+        Entry entry = new Entry(now + Math.max(0, delayMs), nextSequence++, action);
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, size * 2);
         }
-        int at = size++;
-        while (at > 0 && entry.before(heap[(at - 1) / 2])) {
-            heap[at] = heap[(at - 1) / 2];
-            at = (at - 1) / 2;
+        int index = size++;
+        while (index > 0 && entry.before(heap[(index - 1) / 2])) {
+            heap[index] = heap[(index - 1) / 2];
+            index = (index - 1) / 2;
         }
-        heap[at] = entry;
+        heap[index] = entry;
         return entry;
     }
 
-    /** Runs all events up to a time, that time included; it is now then. */
+    /** Runs all events up to and including a time, and sets the clock to that time. */
     public void runUntil(double end) {
-        while (size > 0 && heap[0].at <= end) {
+        while (size > 0 && heap[0].dueAt <= end) {
             Entry next = poll();
             if (next.action != null) {
-                now = next.at;
-                ran++;
+                now = next.dueAt;
+                executed++;
                 Runnable action = next.action;
                 next.action = null;
                 action.run();
@@ -82,18 +82,18 @@
         Entry last = heap[--size];
         heap[size] = null;
         if (size > 0) {
-            int at = 0;
-            for (int child = 1; child < size; child = 2 * at + 1) {
+            int index = 0;
+            for (int child = 1; child < size; child = 2 * index + 1) {
                 if (child + 1 < size && heap[child + 1].before(heap[child])) {
                     child++;
                 }
                 if (!heap[child].before(last)) {
                     break;
                 }
-                heap[at] = heap[child];
-                at = child;
+                heap[index] = heap[child];
+                index = child;
             }
-            heap[at] = last;
+            heap[index] = last;
         }
         return first;
     }
--- a/session/src/main/java/spanrill/session/package-info.java
+++ b/session/src/main/java/spanrill/session/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The core that hosts one decision module: the life of sessions, their attempts and their tokens. It knows no
- * sockets, threads or clock; time and timers come through {@link spanrill.session.Scheduler}, so that the
- * very same classes run in a front and on a virtual clock. Viewer sides call {@link
- * spanrill.session.SessionCore}, boxes are reached through {@link spanrill.session.BoxClient}.
+ * The core that hosts one decision module: the lifecycle of sessions, their attempts and their tokens. It uses no
+ * sockets, threads or system clock. Time and timers come from {@link spanrill.session.Scheduler}, so the same classes
+ * run in a front and in virtual time. Viewer sides call {@link spanrill.session.SessionCore}; the core reaches boxes
+ * through {@link spanrill.session.BoxClient}.
  */
 package spanrill.session;
--- a/session/src/test/java/spanrill/session/ManualClock.java
+++ b/session/src/test/java/spanrill/session/ManualClock.java
@@ -4,14 +4,14 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** Time that stands still until the test moves it; timers run in order of time, then of setting. */
+/** A clock that only advances when the test says so. Timers run in order of their time, then of their scheduling. */
 public final class ManualClock implements Scheduler {
-    private record Due(double at, long order, Runnable action) {}
+    private record ScheduledAction(double dueAt, long sequence, Runnable action) {}
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledAction::dueAt).thenComparingLong(ScheduledAction::sequence));
     private double now = 1_000_000;
-    private long orders;
+    private long nextSequence;
 
     @Override
     public double now() {
@@ -19,40 +19,40 @@
     }
 
     @Override
-    public Timer schedule(double ms, Runnable action) {
-        Due set = new Due(now + Math.max(0, ms), orders++, action);
-        due.add(set);
-        return () -> due.remove(set);
+    public Timer schedule(double delayMs, Runnable action) {
+        ScheduledAction scheduled = new ScheduledAction(now + Math.max(0, delayMs), nextSequence++, action);
+        queue.add(scheduled);
+        return () -> queue.remove(scheduled);
     }
 
-    /** Time passes without a timer run, as when a process stands still. */
-    public void advanceWithoutTimers(double ms) {
-        now += ms;
+    /** Advances the clock without running timers, as when the process is suspended. */
+    public void advanceWithoutTimers(double durationMs) {
+        now += durationMs;
     }
 
-    /** Runs timers until something holds or a time has passed; true when it holds. */
-    public boolean runUntil(BooleanSupplier holds, double ms) {
-        double end = now + ms;
-        while (!holds.getAsBoolean()) {
-            Due next = due.peek();
-            if (next == null || next.at() > end) {
+    /** Runs timers until a condition is true or a time has passed. Returns whether the condition is true. */
+    public boolean runUntil(BooleanSupplier condition, double durationMs) {
+        double end = now + durationMs;
+        while (!condition.getAsBoolean()) {
+            ScheduledAction next = queue.peek();
+            if (next == null || next.dueAt() > end) {
                 now = Math.max(now, end);
-                return holds.getAsBoolean();
+                return condition.getAsBoolean();
             }
-            due.poll();
-            now = Math.max(now, next.at());
+            queue.poll();
+            now = Math.max(now, next.dueAt());
             next.action().run();
         }
         return true;
     }
 
-    /** Timers that are set. */
+    /** Number of pending timers. */
     public int pendingTimers() {
-        return due.size();
+        return queue.size();
     }
 
-    /** Runs all timers of a time. */
-    public void advance(double ms) {
-        runUntil(() -> false, ms);
+    /** Advances the clock and runs the timers that become due. */
+    public void advance(double durationMs) {
+        runUntil(() -> false, durationMs);
     }
 }
--- a/session/src/test/java/spanrill/session/SessionCoreTest.java
+++ b/session/src/test/java/spanrill/session/SessionCoreTest.java
@@ -22,50 +22,49 @@
 import spanrill.decisions.SessionEnd;
 
 /**
- * The core on a clock that the test moves, with a box side that does what the test says: the orders that
- * wires seldom show.
+ * Runs the core on a manual clock with a scripted box client, to test orders of events that are rare on a real network.
  */
 class SessionCoreTest {
     private final ManualClock clock = new ManualClock();
     private final FakeBoxes boxes = new FakeBoxes();
     private final Deque<String> answers = new ArrayDeque<>();
     private SessionCore core;
-    private long names;
+    private long sessionCount;
 
-    /** A set-up that is out. */
-    private record Out(BoxClient.SetUpRequest order, BoxClient.AttemptListener listener) {}
+    /** A set-up that was sent and has no outcome yet. */
+    private record PendingSetUp(BoxClient.SetUpRequest request, BoxClient.AttemptListener listener) {}
 
     private static final class FakeBoxes implements BoxClient {
-        private final Deque<Out> out = new ArrayDeque<>();
-        private final List<String> told = new ArrayList<>();
+        private final Deque<PendingSetUp> setUps = new ArrayDeque<>();
+        private final List<String> commands = new ArrayList<>();
         private final List<Consumer<Load>> releases = new ArrayList<>();
-        private Outcome atOnce;
+        private Outcome immediateOutcome;
 
         @Override
-        public Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener) {
-            out.add(new Out(order, listener));
-            if (atOnce != null) {
-                listener.onEnded(atOnce, null);
+        public Attempt setUp(BoxClient.SetUpRequest request, AttemptListener listener) {
+            setUps.add(new PendingSetUp(request, listener));
+            if (immediateOutcome != null) {
+                listener.onEnded(immediateOutcome, null);
             }
-            return why -> {
-                told.add("abandon " + why);
-                return OutcomeTable.outcomeOf(OutcomeTable.Stage.WRITTEN, why);
+            return reason -> {
+                commands.add("abandon " + reason);
+                return OutcomeTable.outcomeOf(OutcomeTable.Stage.WRITTEN, reason);
             };
         }
 
         @Override
         public void setRung(String box, String key, int rung) {
-            told.add("rung " + rung);
+            commands.add("rung " + rung);
         }
 
         @Override
-        public void release(String box, String key, Consumer<Load> done) {
-            told.add("release " + key);
-            releases.add(done);
+        public void release(String box, String key, Consumer<Load> onReleased) {
+            commands.add("release " + key);
+            releases.add(onReleased);
         }
     }
 
-    private final class Call implements ViewerCall {
+    private final class RecordingCall implements ViewerCall {
         @Override
         public void onPlaying(Session session) {
             answers.add("plays " + session.id());
@@ -82,8 +81,8 @@
         }
 
         @Override
-        public void onUnusable(ViewerCall.UnusableReason why) {
-            answers.add(why.toString());
+        public void onUnusable(ViewerCall.UnusableReason reason) {
+            answers.add(reason.toString());
         }
     }
 
@@ -116,11 +115,11 @@
                 0,
                 1,
                 rules);
-        AnswerDeadline time = new AnswerDeadline(500, 50);
+        AnswerDeadline deadline = new AnswerDeadline(500, 50);
         return new CoreSettings(
                 module,
                 1,
-                Map.of("free", new SessionType(false, 0, 1, time), "paid", new SessionType(true, 1, 1, time)),
+                Map.of("free", new SessionType(false, 0, 1, deadline), "paid", new SessionType(true, 1, 1, deadline)),
                 8000,
                 100,
                 250,
@@ -128,16 +127,16 @@
                 2000);
     }
 
-    private SessionCore fresh() {
+    private SessionCore newCore() {
         return new SessionCore(
                 settings(),
                 new SessionCore.Host(
-                        clock, EventSink.none(), SpentTokenStore.none(), () -> String.format("%022d", ++names)));
+                        clock, EventSink.none(), SpentTokenStore.none(), () -> String.format("%022d", ++sessionCount)));
     }
 
     @BeforeEach
     void start() {
-        core = fresh();
+        core = newCore();
         core.start(boxes);
         core.updateCatalogue(Map.of("title", new Title("title", 0, 4, 60_000, 2000)));
         List<Server> servers = new ArrayList<>();
@@ -147,232 +146,232 @@
         core.updateServers(ListKind.WHOLE, servers);
     }
 
-    private void run(Runnable action) {
+    private void execute(Runnable action) {
         action.run();
     }
 
-    private Call ask(String token, String cls) {
-        Call call = new Call();
-        run(() -> core.requestSession(
-                new ViewerRequest(token, clock.now(), clock.now() + 60_000, "title", cls, null, "v", 4), call));
+    private RecordingCall request(String token, String className) {
+        RecordingCall call = new RecordingCall();
+        execute(() -> core.requestSession(
+                new ViewerRequest(token, clock.now(), clock.now() + 60_000, "title", className, null, "v", 4), call));
         return call;
     }
 
-    private Out out() {
-        Out out = clock.runUntil(() -> !boxes.out.isEmpty(), 5000) ? boxes.out.poll() : null;
-        assertTrue(out != null, "no set-up came");
-        return out;
+    private PendingSetUp nextSetUp() {
+        PendingSetUp setUp = clock.runUntil(() -> !boxes.setUps.isEmpty(), 5000) ? boxes.setUps.poll() : null;
+        assertTrue(setUp != null, "no set-up was sent");
+        return setUp;
     }
 
-    private String answer() {
+    private String nextAnswer() {
         String answer = clock.runUntil(() -> !answers.isEmpty(), 5000) ? answers.poll() : null;
-        assertTrue(answer != null, "no answer came");
+        assertTrue(answer != null, "no answer was given");
         return answer;
     }
 
     @Test
-    void anAnswerInTheSameTurnAsItsTimeOutCountsOnce() {
-        ask("t", "paid");
-        Out out = out();
-        // The time-out is due when the turn ends, but the box's answer is taken first.
-        run(() -> {
+    void answerTakenBeforeATimeOutThatIsDueIsTheOnlyOutcome() {
+        request("t", "paid");
+        PendingSetUp setUp = nextSetUp();
+        // The time-out is due when this event ends, but the box's answer is handled first.
+        execute(() -> {
             clock.advanceWithoutTimers(600);
-            out.listener().onPlaying();
+            setUp.listener().onPlaying();
         });
-        assertTrue(answer().startsWith("plays"));
-        run(() -> {});
+        assertTrue(nextAnswer().startsWith("plays"));
+        execute(() -> {});
         assertEquals(0, answers.size());
         assertEquals(1, core.sessionCount());
     }
 
     @Test
-    void aTimeOutInTheSameTurnAsTheAnswerCountsOnce() {
-        ask("t", "paid");
-        Out out = out();
-        assertEquals("failed", answer());
-        run(() -> out.listener().onPlaying());
-        run(() -> out.listener().onEnded(Outcome.FULL, null));
+    void answerAfterTheTimeOutIsIgnored() {
+        request("t", "paid");
+        PendingSetUp setUp = nextSetUp();
+        assertEquals("failed", nextAnswer());
+        execute(() -> setUp.listener().onPlaying());
+        execute(() -> setUp.listener().onEnded(Outcome.FULL, null));
         assertEquals(0, answers.size());
-        assertEquals(List.of("abandon TIMED_OUT"), boxes.told);
-        assertEquals(0, boxes.out.size());
-        ask("t", "paid");
-        assertEquals("failed", answer());
-        assertEquals(0, boxes.out.size(), "set up again");
+        assertEquals(List.of("abandon TIMED_OUT"), boxes.commands);
+        assertEquals(0, boxes.setUps.size());
+        request("t", "paid");
+        assertEquals("failed", nextAnswer());
+        assertEquals(0, boxes.setUps.size(), "the set-up was repeated");
     }
 
     @Test
-    void aBoxThatTurnsAwayWithinTheCallIsOneOutcome() {
-        boxes.atOnce = Outcome.FULL;
-        ask("t", "paid");
-        assertEquals("refused", answer());
-        // Four holders, each turned it away with proof, one after the other.
-        assertEquals(4, boxes.out.size());
+    void rejectionWithinTheSetUpCallIsOneOutcomePerHolder() {
+        boxes.immediateOutcome = Outcome.FULL;
+        request("t", "paid");
+        assertEquals("refused", nextAnswer());
+        // Each of the four holders rejected the attempt with proof that it never ran, one after the other.
+        assertEquals(4, boxes.setUps.size());
         assertEquals(0, core.sessionCount());
     }
 
     @Test
-    void aTokenOnTwoConnectionsIsOneSetUpAndTwoAnswers() {
-        ask("t", "paid");
-        ask("t", "paid");
-        Out out = out();
-        assertEquals(0, boxes.out.size());
-        run(out.listener()::onPlaying);
-        assertEquals(answer(), answer());
-        ask("t", "paid");
-        assertTrue(answer().startsWith("plays"));
+    void tokenOnTwoConnectionsGetsOneSetUpAndTwoAnswers() {
+        request("t", "paid");
+        request("t", "paid");
+        PendingSetUp setUp = nextSetUp();
+        assertEquals(0, boxes.setUps.size());
+        execute(setUp.listener()::onPlaying);
+        assertEquals(nextAnswer(), nextAnswer());
+        request("t", "paid");
+        assertTrue(nextAnswer().startsWith("plays"));
         assertEquals(1, core.sessionCount());
     }
 
     @Test
-    void theLastViewerThatLeavesCallsTheSetUpOff() {
-        Call first = ask("t", "free");
-        Call second = ask("t", "free");
-        out();
-        run(() -> core.cancelCall(first));
-        assertEquals(List.of(), boxes.told);
-        run(() -> core.cancelCall(second));
-        assertEquals(List.of("abandon CANCELLED"), boxes.told);
+    void setUpIsCancelledWhenTheLastWaitingCallIsCancelled() {
+        RecordingCall first = request("t", "free");
+        RecordingCall second = request("t", "free");
+        nextSetUp();
+        execute(() -> core.cancelCall(first));
+        assertEquals(List.of(), boxes.commands);
+        execute(() -> core.cancelCall(second));
+        assertEquals(List.of("abandon CANCELLED"), boxes.commands);
         assertEquals(0, core.sessionCount());
         assertEquals(0, answers.size());
     }
 
     @Test
-    void aPaidTokenWhoseViewerLeftDuringSetUpFailsAfterwards() {
-        Call call = ask("t", "paid");
-        out();
-        run(() -> core.cancelCall(call));
-        ask("t", "paid");
-        assertEquals("failed", answer());
-        assertEquals(0, boxes.out.size());
+    void paidTokenFailsAfterItsViewerLeftDuringSetUp() {
+        RecordingCall call = request("t", "paid");
+        nextSetUp();
+        execute(() -> core.cancelCall(call));
+        request("t", "paid");
+        assertEquals("failed", nextAnswer());
+        assertEquals(0, boxes.setUps.size());
     }
 
     @Test
-    void aFreeSessionGoesOnElsewhereAfterAnUnprovenLoss() {
-        ask("t", "free");
-        Out first = out();
-        run(() -> first.listener().onEnded(Outcome.RESET, null));
-        Out second = out();
-        assertTrue(!second.order().box().equals(first.order().box()));
-        run(second.listener()::onPlaying);
-        assertTrue(answer().startsWith("plays"));
+    void freeSessionIsRetriedAtAnotherBoxAfterAReset() {
+        request("t", "free");
+        PendingSetUp first = nextSetUp();
+        execute(() -> first.listener().onEnded(Outcome.RESET, null));
+        PendingSetUp second = nextSetUp();
+        assertTrue(!second.request().box().equals(first.request().box()));
+        execute(second.listener()::onPlaying);
+        assertTrue(nextAnswer().startsWith("plays"));
     }
 
     @Test
-    void aLostBoxEndsItsSessionsAndTheTokenIsUsed() {
-        ask("t", "free");
-        Out out = out();
-        run(out.listener()::onPlaying);
-        String id = answer().substring("plays ".length());
-        run(() -> core.handleBoxLost(out.order().box(), SessionEnd.BOX_GONE));
-        run(() -> assertEquals(SessionEnd.BOX_GONE, core.findSession(id).endReason()));
-        ask("t", "free");
-        assertEquals("USED", answer());
+    void lostBoxEndsItsSessionsAndTheirTokensAreUsed() {
+        request("t", "free");
+        PendingSetUp setUp = nextSetUp();
+        execute(setUp.listener()::onPlaying);
+        String id = nextAnswer().substring("plays ".length());
+        execute(() -> core.handleBoxLost(setUp.request().box(), SessionEnd.BOX_GONE));
+        execute(() -> assertEquals(SessionEnd.BOX_GONE, core.findSession(id).endReason()));
+        request("t", "free");
+        assertEquals("USED", nextAnswer());
         assertEquals(0, core.sessionCount());
     }
 
     @Test
-    void aSessionWithoutASignOfLifeIsReleased() {
-        ask("t", "free");
-        Out out = out();
-        run(out.listener()::onPlaying);
-        answer();
-        run(() -> core.endSession(core.findSession("nobody") == null ? session(out) : null));
-        assertEquals(List.of("release " + out.order().key()), boxes.told);
-        run(() -> boxes.releases.get(0).accept(null));
+    void sessionEndedByItsViewerIsReleased() {
+        request("t", "free");
+        PendingSetUp setUp = nextSetUp();
+        execute(setUp.listener()::onPlaying);
+        nextAnswer();
+        execute(() -> core.endSession(core.findSession("nobody") == null ? sessionOf(setUp) : null));
+        assertEquals(List.of("release " + setUp.request().key()), boxes.commands);
+        execute(() -> boxes.releases.get(0).accept(null));
         assertEquals(0, core.sessionCount());
     }
 
-    private Session session(Out out) {
-        return core.findSession(out.order().key().substring(0, 22));
+    private Session sessionOf(PendingSetUp setUp) {
+        return core.findSession(setUp.request().key().substring(0, 22));
     }
 
     @Test
-    void aMoveReleasesFirstAndSpendsNothingAnew() {
-        ask("t", "paid");
-        Out out = out();
-        assertTrue(out.order().spends());
-        run(out.listener()::onPlaying);
-        answer();
-        Session session = session(out);
-        run(() -> core.move(session.id() + "-0"));
-        assertEquals("release " + out.order().key(), boxes.told.get(0));
-        assertEquals(0, boxes.out.size(), "before the old box gave it up");
-        run(() -> boxes.releases.get(0).accept(null));
-        Out again = out();
-        assertEquals(out.order().key(), again.order().continues());
-        assertTrue(!again.order().spends());
-        run(again.listener()::onPlaying);
-        run(() -> assertEquals(again.order().box(), session.box()));
+    void moveReleasesFirstAndDoesNotSpendTheTokenAgain() {
+        request("t", "paid");
+        PendingSetUp setUp = nextSetUp();
+        assertTrue(setUp.request().spends());
+        execute(setUp.listener()::onPlaying);
+        nextAnswer();
+        Session session = sessionOf(setUp);
+        execute(() -> core.move(session.id() + "-0"));
+        assertEquals("release " + setUp.request().key(), boxes.commands.get(0));
+        assertEquals(0, boxes.setUps.size(), "set up before the old box released the session");
+        execute(() -> boxes.releases.get(0).accept(null));
+        PendingSetUp secondSetUp = nextSetUp();
+        assertEquals(setUp.request().key(), secondSetUp.request().continues());
+        assertTrue(!secondSetUp.request().spends());
+        execute(secondSetUp.listener()::onPlaying);
+        execute(() -> assertEquals(secondSetUp.request().box(), session.box()));
         assertEquals(0, answers.size(), "a move is no answer");
     }
 
     @Test
-    void aMoveWhoseOldBoxIsSilentGoesOnAfterItsTime() {
-        ask("t", "free");
-        Out out = out();
-        run(out.listener()::onPlaying);
-        answer();
-        run(() -> core.move(session(out).id() + "-0"));
-        Out again = out();
-        run(() -> boxes.releases.get(0).accept(null));
-        run(again.listener()::onPlaying);
-        assertEquals(0, boxes.out.size(), "it came back twice");
+    void moveContinuesAfterTheTimeOutOfASilentOldBox() {
+        request("t", "free");
+        PendingSetUp setUp = nextSetUp();
+        execute(setUp.listener()::onPlaying);
+        nextAnswer();
+        execute(() -> core.move(sessionOf(setUp).id() + "-0"));
+        PendingSetUp secondSetUp = nextSetUp();
+        execute(() -> boxes.releases.get(0).accept(null));
+        execute(secondSetUp.listener()::onPlaying);
+        assertEquals(0, boxes.setUps.size(), "the moved session was placed twice");
     }
 
     @Test
-    void aPlayerThatIsSilentIsReleasedAndToldWhy() {
-        ask("t", "free");
-        Out out = out();
-        run(out.listener()::onPlaying);
-        answer();
-        Session session = session(out);
+    void idleSessionIsReleasedWithReasonIdle() {
+        request("t", "free");
+        PendingSetUp setUp = nextSetUp();
+        execute(setUp.listener()::onPlaying);
+        nextAnswer();
+        Session session = sessionOf(setUp);
         clock.advance(7000);
         core.recordActivity(session);
         clock.advance(7000);
-        assertEquals(1, core.sessionCount(), "it was heard of 7 s ago");
+        assertEquals(1, core.sessionCount(), "the last activity was 7 s ago");
         clock.advance(1500);
         assertEquals(SessionEnd.IDLE, session.endReason());
-        assertEquals(List.of("release " + out.order().key()), boxes.told);
+        assertEquals(List.of("release " + setUp.request().key()), boxes.commands);
     }
 
     @Test
-    void aMoveThatNoBoxTakesEndsTheSessionWithAWait() {
-        ask("t", "free");
-        Out out = out();
-        run(out.listener()::onPlaying);
-        answer();
-        Session session = session(out);
+    void moveRefusedByAllBoxesEndsTheSessionWithARetryDelay() {
+        request("t", "free");
+        PendingSetUp setUp = nextSetUp();
+        execute(setUp.listener()::onPlaying);
+        nextAnswer();
+        Session session = sessionOf(setUp);
         core.move(session.id() + "-0");
-        boxes.atOnce = Outcome.FULL;
+        boxes.immediateOutcome = Outcome.FULL;
         boxes.releases.get(0).accept(null);
         clock.advance(1000);
         assertEquals(SessionEnd.MOVE_REFUSED, session.endReason());
         assertTrue(session.retryAfterMs() > 0);
-        assertEquals(0, answers.size(), "the request was answered long ago");
+        assertEquals(0, answers.size(), "the request had been answered before");
     }
 
     @Test
-    void aSessionIsForgottenSomeTimeAfterItsEnd() {
-        ask("t", "free");
-        Out out = out();
-        run(out.listener()::onPlaying);
-        answer();
-        core.endSession(session(out));
+    void endedSessionIsRemovedAfterItsRetentionTime() {
+        request("t", "free");
+        PendingSetUp setUp = nextSetUp();
+        execute(setUp.listener()::onPlaying);
+        nextAnswer();
+        core.endSession(sessionOf(setUp));
         clock.advance(119_000);
-        assertEquals(SessionEnd.ENDED, session(out).endReason());
+        assertEquals(SessionEnd.ENDED, sessionOf(setUp).endReason());
         clock.advance(2000);
-        assertEquals(null, session(out));
+        assertEquals(null, sessionOf(setUp));
     }
 
     @Test
-    void requestsBeforeTheListAndForUnknownTitlesAreTold() {
-        run(() -> core.requestSession(
-                new ViewerRequest("x", clock.now(), 1e15, "nowhere", "free", null, "v", 4), new Call()));
-        assertEquals("NO_TITLE", answer());
-        SessionCore empty = fresh();
-        run(() -> empty.start(boxes));
-        run(() -> empty.requestSession(
-                new ViewerRequest("x", clock.now(), 1e15, "title", "free", null, "v", 4), new Call()));
-        assertEquals("NOT_READY", answer());
+    void requestsBeforeTheListAndForUnknownTitlesAreUnusable() {
+        execute(() -> core.requestSession(
+                new ViewerRequest("x", clock.now(), 1e15, "nowhere", "free", null, "v", 4), new RecordingCall()));
+        assertEquals("NO_TITLE", nextAnswer());
+        SessionCore empty = newCore();
+        execute(() -> empty.start(boxes));
+        execute(() -> empty.requestSession(
+                new ViewerRequest("x", clock.now(), 1e15, "title", "free", null, "v", 4), new RecordingCall()));
+        assertEquals("NOT_READY", nextAnswer());
     }
 }
--- a/session/src/test/java/spanrill/session/VirtualTimeSchedulerTest.java
+++ b/session/src/test/java/spanrill/session/VirtualTimeSchedulerTest.java
@@ -13,42 +13,42 @@
 import org.junit.jupiter.api.Test;
 
 class VirtualTimeSchedulerTest {
-    /** Beside a list that is sorted by time and order of setting; every third event is cancelled. */
+    /** Compares with a list sorted by time and order of scheduling. Every third event is cancelled. */
     @Property(tries = 500, seed = "20261201")
-    void eventsRunInOrderOfTimeAndThenOfSetting(
+    void eventsRunInOrderOfTimeAndThenOfScheduling(
             @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 40) Integer> times) {
-        VirtualTimeScheduler agenda = new VirtualTimeScheduler();
+        VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
         List<int[]> expected = new ArrayList<>();
-        List<Integer> ran = new ArrayList<>();
+        List<Integer> executed = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
             int number = i;
-            VirtualTimeScheduler.Entry entry = agenda.schedule(times.get(i), () -> ran.add(number));
+            VirtualTimeScheduler.Entry entry = scheduler.schedule(times.get(i), () -> executed.add(number));
             if (i % 3 == 2) {
                 entry.cancel();
             } else if (times.get(i) <= 30) {
                 expected.add(new int[] {times.get(i), i});
             }
         }
-        expected.sort(Comparator.<int[]>comparingInt(e -> e[0]).thenComparingInt(e -> e[1]));
-        agenda.runUntil(30);
-        assertEquals(expected.stream().map(e -> e[1]).toList(), ran);
-        assertEquals(30, agenda.now());
-        assertEquals(ran.size(), agenda.executedCount());
+        expected.sort(Comparator.<int[]>comparingInt(event -> event[0]).thenComparingInt(event -> event[1]));
+        scheduler.runUntil(30);
+        assertEquals(expected.stream().map(event -> event[1]).toList(), executed);
+        assertEquals(30, scheduler.now());
+        assertEquals(executed.size(), scheduler.executedCount());
     }
 
     @Test
-    void whatAnEventSetsRunsInItsTurn() {
-        VirtualTimeScheduler agenda = new VirtualTimeScheduler();
-        List<String> ran = new ArrayList<>();
-        agenda.schedule(5, () -> {
-            ran.add("a" + agenda.now());
-            agenda.schedule(0, () -> ran.add("c" + agenda.now()));
-            agenda.schedule(-3, () -> ran.add("d" + agenda.now()));
-            agenda.schedule(2, () -> ran.add("e" + agenda.now()));
+    void eventsScheduledByAnEventRunInOrderOfTime() {
+        VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
+        List<String> executed = new ArrayList<>();
+        scheduler.schedule(5, () -> {
+            executed.add("a" + scheduler.now());
+            scheduler.schedule(0, () -> executed.add("c" + scheduler.now()));
+            scheduler.schedule(-3, () -> executed.add("d" + scheduler.now()));
+            scheduler.schedule(2, () -> executed.add("e" + scheduler.now()));
         });
-        agenda.schedule(5, () -> ran.add("b" + agenda.now()));
-        agenda.runUntil(100);
-        assertEquals(List.of("a5.0", "b5.0", "c5.0", "d5.0", "e7.0"), ran);
-        assertTrue(agenda.now() == 100);
+        scheduler.schedule(5, () -> executed.add("b" + scheduler.now()));
+        scheduler.runUntil(100);
+        assertEquals(List.of("a5.0", "b5.0", "c5.0", "d5.0", "e7.0"), executed);
+        assertTrue(scheduler.now() == 100);
     }
 }
--- a/simhost/src/main/java/spanrill/simhost/Main.java
+++ b/simhost/src/main/java/spanrill/simhost/Main.java
@@ -26,8 +26,8 @@
         Writer out = new OutputStreamWriter(
                 new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16), StandardCharsets.UTF_8);
         try {
-            new Simhost(out).run(in);
-        } catch (WireException e) {
+            new SimulatorAdapter(out).run(in);
+        } catch (InputFormatException e) {
             System.err.println("simhost: " + e.getMessage());
             System.exit(1);
         }
--- a/simhost/src/main/java/spanrill/simhost/Simhost.java
+++ b/simhost/src/main/java/spanrill/simhost/SimulatorAdapter.java
@@ -22,12 +22,12 @@
 import spanrill.setup.SettingsReader;
 
 /**
- * Speaks the users' bench: parses batches of events, hands each to the module of its instance, and writes the
- * actions. It decides nothing.
+ * Connects decision modules to the simulator. Reads batches of events, passes each event to the module of its instance
+ * and writes the resulting actions.
  */
-final class Simhost {
-    private static final int MOVED = 8;
-    private static final int AGAIN = 16;
+final class SimulatorAdapter {
+    private static final int MOVED_MARK = 8;
+    private static final int RETURNING_MARK = 16;
     private static final Map<String, ListKind> LIST_KINDS = Map.of(
             "diff", ListKind.CHANGES, "snapshot", ListKind.WHOLE, "disk", ListKind.KEPT, "error", ListKind.FAILED);
     private static final Map<String, Outcome> OUTCOMES = Map.of(
@@ -48,126 +48,127 @@
             "NOP",
             Outcome.MOOT);
 
-    private final Writer out;
+    private final Writer output;
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, Front> fronts = new HashMap<>();
-    private final Map<Integer, List<Server>> sheets = new HashMap<>();
-    private BufferedReader in;
-    private long lines;
+    private final Map<Integer, List<Server>> serverLists = new HashMap<>();
+    private BufferedReader input;
+    private long lineNumber;
     private double now;
 
-    /** One instance: its module, and the names in which its load reports come. */
+    /** One instance: its module and the names of the values in its load reports, in order. */
     private record Front(SessionControl control, List<String> reportNames) {}
 
-    Simhost(Writer out) {
-        this.out = out;
+    SimulatorAdapter(Writer output) {
+        this.output = output;
     }
 
-    /** Serves batches until the end of input. */
+    /** Processes batches until the end of input. */
     void run(BufferedReader input) throws IOException {
-        in = input;
-        for (Line line = readLine(); line != null; line = readLine()) {
-            if (!line.word().equals("TICK")) {
-                throw new WireException("line " + lines + ": expected TICK, got '" + line.word() + "'");
+        this.input = input;
+        for (InputLine line = readLine(); line != null; line = readLine()) {
+            if (!line.type().equals("TICK")) {
+                throw new InputFormatException("line " + lineNumber + ": expected TICK, got '" + line.type() + "'");
             }
             now = line.number("sim_time");
-            long round = line.whole("round", 0, Long.MAX_VALUE);
-            line.end();
+            long round = line.wholeNumber("round", 0, Long.MAX_VALUE);
+            line.expectEnd();
             reply.setLength(0);
-            for (line = readInside(); !line.word().equals("END"); line = readInside()) {
-                event(line);
+            for (line = readBatchLine(); !line.type().equals("END"); line = readBatchLine()) {
+                handleEvent(line);
             }
-            line.end();
+            line.expectEnd();
             reply.append("EOR\t").append(round).append('\n');
-            out.append(reply);
-            out.flush();
+            output.append(reply);
+            output.flush();
         }
     }
 
-    private Line readLine() throws IOException {
-        String text = in.readLine();
-        lines++;
+    private InputLine readLine() throws IOException {
+        String text = input.readLine();
+        lineNumber++;
         while (text != null && text.isEmpty()) {
-            text = in.readLine();
-            lines++;
+            text = input.readLine();
+            lineNumber++;
         }
-        return text == null ? null : new Line(lines, text);
+        return text == null ? null : new InputLine(lineNumber, text);
     }
 
-    private Line readInside() throws IOException {
-        Line line = readLine();
+    private InputLine readBatchLine() throws IOException {
+        InputLine line = readLine();
         if (line == null) {
-            throw new WireException("line " + lines + ": input ended within a batch");
+            throw new InputFormatException("line " + lineNumber + ": input ended within a batch");
         }
         return line;
     }
 
-    private void event(Line line) throws IOException {
-        if (line.word().equals("SHEET")) {
-            sheet(line);
+    private void handleEvent(InputLine line) throws IOException {
+        if (line.type().equals("SHEET")) {
+            readServerList(line);
             return;
         }
-        if (line.word().equals("TICK") || line.word().equals("ENTRY")) {
-            throw new WireException("line " + lines + ": " + line.word() + " out of place");
+        if (line.type().equals("TICK") || line.type().equals("ENTRY")) {
+            throw new InputFormatException(
+                    "line " + lineNumber + ": " + line.type() + " is not allowed at this place in a batch");
         }
-        int who = line.integer("who");
-        if (line.word().equals("INIT")) {
-            init(line, who);
+        int instance = line.integer("who");
+        if (line.type().equals("INIT")) {
+            init(line, instance);
             return;
         }
-        Front front = fronts.get(who);
+        Front front = fronts.get(instance);
         if (front == null) {
-            throw line.fault("who", "names an instance that is not running: " + who);
+            throw line.fault("who", "names an instance that is not running: " + instance);
         }
-        if (line.word().equals("DESTROY")) {
-            line.end();
-            fronts.remove(who);
+        if (line.type().equals("DESTROY")) {
+            line.expectEnd();
+            fronts.remove(instance);
             return;
         }
         Runnable event = parse(line, front);
-        line.end();
-        guarded(who, event);
+        line.expectEnd();
+        runGuarded(instance, event);
     }
 
-    private void guarded(int who, Runnable event) {
+    private void runGuarded(int instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            say("CRASH", who, (e + (trace.length > 0 ? " at " + trace[0] : "")).replaceAll("\\s+", " "));
+            writeAction("CRASH", instance, (e + (trace.length > 0 ? " at " + trace[0] : "")).replaceAll("\\s+", " "));
         }
     }
 
-    private void init(Line line, int who) {
-        long seed = line.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE);
-        SettingsReader reader = new SettingsReader(new FlattenedObject(pairs(line)));
+    private void init(InputLine line, int instance) {
+        long seed = line.wholeNumber("seed", Long.MIN_VALUE, Long.MAX_VALUE);
+        SettingsReader reader = new SettingsReader(new FlattenedObject(readPairs(line)));
         Settings settings;
         try {
             settings = reader.settings();
-        } catch (InvalidFieldException fault) {
-            throw line.fault(fault.path(), fault.problem());
+        } catch (InvalidFieldException e) {
+            throw line.fault(e.path(), e.problem());
         }
-        Control control = new Control(settings, seed, new WireActions(who));
-        fronts.put(who, new Front(control, reader.reportNames()));
-        guarded(who, () -> control.start(now));
+        Control control = new Control(settings, seed, new WireActions(instance));
+        fronts.put(instance, new Front(control, reader.reportNames()));
+        runGuarded(instance, () -> control.start(now));
     }
 
-    private static Map<String, String> pairs(Line line) {
+    private static Map<String, String> readPairs(InputLine line) {
         Map<String, String> pairs = new HashMap<>();
-        while (line.more()) {
+        while (line.hasMore()) {
             String pair = line.text("setup");
-            int eq = pair.indexOf('=');
-            if (eq <= 0) {
+            int equalsSign = pair.indexOf('=');
+            if (equalsSign <= 0) {
                 throw line.fault("setup", "has a part that is not path=value: '" + pair + "'");
             }
-            pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
+            pairs.put(pair.substring(0, equalsSign), pair.substring(equalsSign + 1));
         }
         return pairs;
     }
 
-    private Runnable parse(Line line, Front front) {
+    private Runnable parse(InputLine line, Front front) {
         SessionControl control = front.control();
-        switch (line.word()) {
+        switch (line.type()) {
             case "DIRECTORY_UPDATE":
                 return directoryUpdate(line, control);
             case "REQ": {
@@ -181,10 +182,10 @@
             }
             case "ACK_FIRST": {
                 String id = line.text("corr");
-                double took = line.number("wait_time");
+                double setUpMs = line.number("wait_time");
                 String server = line.text("server");
                 line.integer("try");
-                return () -> control.playing(now, id, server, took);
+                return () -> control.playing(now, id, server, setUpMs);
             }
             case "PROGRESS":
                 return progress(line, control);
@@ -209,38 +210,38 @@
                 line.text("raw");
                 return () -> {};
             default:
-                throw new WireException("line " + lines + ": unknown event '" + line.word() + "'");
+                throw new InputFormatException("line " + lineNumber + ": unknown event '" + line.type() + "'");
         }
     }
 
-    private Runnable directoryUpdate(Line line, SessionControl control) {
-        ListKind kind = pick(line, "how", LIST_KINDS);
+    private Runnable directoryUpdate(InputLine line, SessionControl control) {
+        ListKind kind = enumValue(line, "how", LIST_KINDS);
         line.text("gen");
         String slot = line.text("slot");
-        List<Server> list = kind == ListKind.FAILED ? List.of() : sheet(line, slot);
+        List<Server> list = kind == ListKind.FAILED ? List.of() : serverList(line, slot);
         return () -> control.servers(now, kind, list);
     }
 
-    private List<Server> sheet(Line line, String slot) {
-        List<Server> servers = slot.matches("\\d{1,9}") ? sheets.get(Integer.parseInt(slot)) : null;
+    private List<Server> serverList(InputLine line, String slot) {
+        List<Server> servers = slot.matches("\\d{1,9}") ? serverLists.get(Integer.parseInt(slot)) : null;
         if (servers == null) {
-            throw line.fault("slot", "names no list that was given: '" + slot + "'");
+            throw line.fault("slot", "names a server list that was not sent: '" + slot + "'");
         }
         return servers;
     }
 
-    private Runnable returned(Line line, Front front) {
+    private Runnable returned(InputLine line, Front front) {
         String id = line.text("corr");
         boolean closed = line.bool("no_more");
         line.number("wait_time");
-        Outcome outcome = pick(line, "code", OUTCOMES);
+        Outcome outcome = enumValue(line, "code", OUTCOMES);
         line.integer("try");
         String server = line.textOrNull("server");
         Load load = load(line, front.reportNames());
         return () -> front.control().ended(now, id, closed, outcome, server, load);
     }
 
-    private Runnable progress(Line line, SessionControl control) {
+    private Runnable progress(InputLine line, SessionControl control) {
         String id = line.text("corr");
         String server = line.text("server");
         double value = line.number("x");
@@ -261,13 +262,13 @@
         };
     }
 
-    private Request request(Line line) {
+    private Request request(InputLine line) {
         String id = line.text("corr");
-        String category = line.text("category");
-        String org = line.textOrNull("org");
+        String className = line.text("category");
+        String tenant = line.textOrNull("org");
         String key = line.textOrNull("key");
         String title = line.textOrNull("programme");
-        double left = line.number("remaining");
+        double leftMs = line.number("remaining");
         line.numberOrNaN("cost");
         int home = line.integer("base");
         int copies = line.integer("span");
@@ -275,25 +276,25 @@
         int marks = line.integer("marks");
         return new Request(
                 id,
-                category,
-                org,
+                className,
+                tenant,
                 key,
                 title,
-                left,
+                leftMs,
                 home,
                 copies,
                 top,
-                (marks & MOVED) != 0,
-                (marks & (MOVED | AGAIN)) != 0);
+                (marks & MOVED_MARK) != 0,
+                (marks & (MOVED_MARK | RETURNING_MARK)) != 0);
     }
 
-    private Load load(Line line, List<String> names) {
-        String row = line.textOrNull("usage");
-        if (row == null) {
+    private Load load(InputLine line, List<String> names) {
+        String usage = line.textOrNull("usage");
+        if (usage == null) {
             return null;
         }
         List<Double> values = new ArrayList<>();
-        for (String item : row.split(",", -1)) {
+        for (String item : usage.split(",", -1)) {
             try {
                 values.add(Double.parseDouble(item));
             } catch (NumberFormatException e) {
@@ -303,88 +304,88 @@
         return SettingsReader.load(names, values);
     }
 
-    private <T> T pick(Line line, String field, Map<String, T> words) {
+    private <T> T enumValue(InputLine line, String field, Map<String, T> words) {
         String word = line.text(field);
         T value = words.get(word);
         if (value == null) {
-            throw line.fault(field, "is not a known word: '" + word + "'");
+            throw line.fault(field, "has an unknown value: '" + word + "'");
         }
         return value;
     }
 
-    private void sheet(Line line) throws IOException {
+    private void readServerList(InputLine line) throws IOException {
         int slot = line.integer("slot");
-        long count = line.whole("members", 0, 10_000_000);
-        line.end();
+        long count = line.wholeNumber("members", 0, 10_000_000);
+        line.expectEnd();
         List<Server> servers = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            Line entry = readInside();
-            if (!entry.word().equals("ENTRY")) {
-                throw new WireException("line " + lines + ": expected ENTRY, got '" + entry.word() + "'");
+            InputLine entry = readBatchLine();
+            if (!entry.type().equals("ENTRY")) {
+                throw new InputFormatException("line " + lineNumber + ": expected ENTRY, got '" + entry.type() + "'");
             }
             String id = entry.text("server");
             String zone = entry.textOrNull("rack_zone");
             String kind = entry.textOrNull("family_type");
             int cell = entry.integer("position");
-            ServerState state = pick(
+            ServerState state = enumValue(
                     entry, "phase", Map.of("U", ServerState.READY, "L", ServerState.DRAINING, "D", ServerState.GONE));
             double weight = entry.numberOrNaN("power_hint");
-            double started = entry.numberOrNaN("last_start");
-            entry.end();
-            servers.add(new Server(id, zone, kind, cell, state, weight, started == 0 ? Double.NaN : started));
+            double startedAt = entry.numberOrNaN("last_start");
+            entry.expectEnd();
+            servers.add(new Server(id, zone, kind, cell, state, weight, startedAt == 0 ? Double.NaN : startedAt));
         }
-        sheets.put(slot, servers);
+        serverLists.put(slot, servers);
     }
 
-    private void say(String word, int who, Object... parts) {
-        reply.append(word).append('\t').append(who);
-        for (Object part : parts) {
-            reply.append('\t').append(part);
+    private void writeAction(String action, int instance, Object... fields) {
+        reply.append(action).append('\t').append(instance);
+        for (Object field : fields) {
+            reply.append('\t').append(field);
         }
         reply.append('\n');
     }
 
-    /** The actions of one instance, written to the reply. */
+    /** Appends the actions of one instance to the reply of the current batch. */
     private final class WireActions implements SessionControl.Actions {
-        private final int who;
+        private final int instance;
 
-        WireActions(int who) {
-            this.who = who;
+        WireActions(int instance) {
+            this.instance = instance;
         }
 
         @Override
         public void send(String request, double until, String server) {
-            say("PASS_ON", who, request, until, server);
+            writeAction("PASS_ON", instance, request, until, server);
         }
 
         @Override
         public void rate(String request, int rung) {
-            say("PITCH", who, request, rung);
+            writeAction("PITCH", instance, request, rung);
         }
 
         @Override
         public void move(String request) {
-            say("REBALANCE", who, request);
+            writeAction("REBALANCE", instance, request);
         }
 
         @Override
         public void refuse(String request, double retryAfterMs) {
-            say("REJECT", who, request, retryAfterMs);
+            writeAction("REJECT", instance, request, retryAfterMs);
         }
 
         @Override
         public void fail(String request) {
-            say("END_FAILED", who, request);
+            writeAction("END_FAILED", instance, request);
         }
 
         @Override
         public void timer(String token, double delayMs) {
-            say("NOTIFY_ME", who, token, delayMs);
+            writeAction("NOTIFY_ME", instance, token, delayMs);
         }
 
         @Override
         public void log(String text) {
-            say("SAY_LOG", who, text);
+            writeAction("SAY_LOG", instance, text);
         }
     }
 }
--- a/simhost/src/test/java/spanrill/simhost/SimhostTest.java
+++ b/simhost/src/test/java/spanrill/simhost/SimulatorAdapterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class SimhostTest {
+class SimulatorAdapterTest {
     private static final String SETUP = String.join(
             "\t",
             "me=0",
@@ -51,12 +51,12 @@
             "a.key.nobody.knows=1");
     private static final String LIST = "SHEET\t0\t1\nENTRY\tserver_a\ta\tstd\t0\tU\t1\t-\n";
 
-    private static String init(int who) {
-        return "INIT\t" + who + "\t7\t" + SETUP + "\n" + LIST + "DIRECTORY_UPDATE\t" + who + "\tdisk\t1\t0\n";
+    private static String init(int instance) {
+        return "INIT\t" + instance + "\t7\t" + SETUP + "\n" + LIST + "DIRECTORY_UPDATE\t" + instance + "\tdisk\t1\t0\n";
     }
 
-    private static String request(int who, String id) {
-        return "REQ\t" + who + "\t" + id + "\tfree\t-\tk\tt\t3000.0\t-\t0\t1\t1\t0\n";
+    private static String request(int instance, String id) {
+        return "REQ\t" + instance + "\t" + id + "\tfree\t-\tk\tt\t3000.0\t-\t0\t1\t1\t0\n";
     }
 
     private static String batch(int round, String events) {
@@ -65,17 +65,17 @@
 
     private static String run(String input) throws Exception {
         StringWriter out = new StringWriter();
-        new Simhost(out).run(new BufferedReader(new StringReader(input)));
+        new SimulatorAdapter(out).run(new BufferedReader(new StringReader(input)));
         return out.toString();
     }
 
     @Test
-    void anEmptyBatchIsAnswered() throws Exception {
+    void emptyBatchIsAcknowledged() throws Exception {
         assertEquals("EOR\t1\n", run(batch(1, "")));
     }
 
     @Test
-    void aBatchIsAnsweredForEachInstanceByItself() throws Exception {
+    void actionsInOneBatchAreWrittenForEachInstanceInOrderOfEvents() throws Exception {
         String reply = run(batch(1, init(0) + init(4)) + batch(2, request(4, "01") + request(0, "02")));
         String second = reply.substring(reply.indexOf("EOR\t1\n"));
         assertTrue(second.contains("PASS_ON\t4\t01\t") && second.contains("PASS_ON\t0\t02\t"), reply);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void anInstanceMayStopAndStartInOneBatch() throws Exception {
+    void instanceMayBeDestroyedAndRecreatedInOneBatch() throws Exception {
         String reply = run(batch(1, init(0))
                 + batch(2, request(0, "01"))
                 + batch(3, "DESTROY\t0\n" + init(0) + "TIMED_OUT_CLIENT\t0\t01\n" + request(0, "02")));
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aListNumberIsReusedInTheOrderOfEvents() throws Exception {
+    void serverListSlotCanBeReplacedWithinABatch() throws Exception {
         String reply = run(batch(
                 1,
                 init(0) + LIST.replace("server_a", "server_b") + "DIRECTORY_UPDATE\t0\tsnapshot\t2\t0\n"
@@ -111,19 +111,20 @@
         "GREETING|0, GREETING",
         "DUE|0|sweep|more, too many"
     })
-    void aMalformedLineIsNamedAndNothingHalfIsWritten(String line, String named) {
+    void malformedLineIsReportedAndItsBatchHasNoOutput(String line, String expected) {
         StringWriter out = new StringWriter();
         String input = batch(1, init(0)) + batch(2, request(0, "01") + line.replace('|', '\t') + "\n");
-        WireException e = assertThrows(
-                WireException.class, () -> new Simhost(out).run(new BufferedReader(new StringReader(input))));
-        assertTrue(e.getMessage().contains("line ") && e.getMessage().contains(named), e.getMessage());
+        InputFormatException e = assertThrows(
+                InputFormatException.class,
+                () -> new SimulatorAdapter(out).run(new BufferedReader(new StringReader(input))));
+        assertTrue(e.getMessage().contains("line ") && e.getMessage().contains(expected), e.getMessage());
         assertTrue(out.toString().endsWith("EOR\t1\n"));
     }
 
     @Test
-    void aMissingSettingIsNamed() {
-        WireException e =
-                assertThrows(WireException.class, () -> run(batch(1, init(0).replace("safety.fall=3000.0\t", ""))));
+    void missingSettingIsReportedByItsPath() {
+        InputFormatException e = assertThrows(
+                InputFormatException.class, () -> run(batch(1, init(0).replace("safety.fall=3000.0\t", ""))));
         assertTrue(e.getMessage().contains("safety.fall"), e.getMessage());
     }
 }
