--- a/core/src/test/java/spanrill/ControlTest.java
+++ b/core/src/test/java/spanrill/ControlTest.java
@@ -92,7 +92,7 @@
         }
         assertEquals(1, front.count("move r1"));
         front.control.ended(front.now, "r1", true, Outcome.CANCELLED, oldServer, null);
-        SessionControl.Request original = front.request("r2", "free", 3000);
+        SessionControl.Request original = front.newRequest("r2", "free", 3000);
         front.control.request(
                 front.now,
                 new SessionControl.Request("r2", "free", null, "kr1", "title", original.leftMs(), 0, 4, 4, true, true));
@@ -104,15 +104,17 @@
     void requestGetsOneFinalAnswerForEveryOutcomeOfItsAttempts() {
         for (Outcome outcome : Outcome.values()) {
             for (String className : new String[] {"free", "paid"}) {
-                ScriptedFront front = ScriptedFront.warm();
-                front.request("r", className);
-                for (int i = 0; i < 5 && front.count("fail r") + front.count("refuse r") == 0; i++) {
-                    front.control.ended(front.now, "r", false, outcome, front.sentTo("r"), null);
-                    front.run(300);
+                ScriptedFront customFront = ScriptedFront.warm();
+                customFront.request("r", className);
+                for (int i = 0; i < 5 && customFront.count("fail r") + customFront.count("refuse r") == 0; i++) {
+                    customFront.control.ended(customFront.now, "r", false, outcome, customFront.sentTo("r"), null);
+                    customFront.run(300);
                 }
                 assertEquals(
-                        1, front.count("fail r") + front.count("refuse r"), outcome + " " + className + front.actions);
-                assertTrue(front.count("send r ") <= 3);
+                        1,
+                        customFront.count("fail r") + customFront.count("refuse r"),
+                        outcome + " " + className + customFront.actions);
+                assertTrue(customFront.count("send r ") <= 3);
             }
         }
     }
@@ -177,7 +179,7 @@
 
     @Test
     void seatsCountSetUpsAndTakenOverSessions() {
-        front.control.takenOver(front.now, front.request("o", "paid", 3000), "s0");
+        front.control.takenOver(front.now, front.newRequest("o", "paid", 3000), "s0");
         assertNotNull(front.request("p1", "paid"));
         assertNull(front.request("p2", "paid"));
         assertEquals(1, front.count("refuse p2"));
@@ -187,17 +189,17 @@
 
     @Test
     void retriesStayWithinTheConfiguredBudget() {
-        ScriptedFront front =
+        ScriptedFront customFront =
                 new ScriptedFront(ScriptedFront.settings(3, 5, new Rules(12_000, 0.4, 2, 1500, 1, 0.1, 10_000)));
-        front.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
-        front.run(15_000);
+        customFront.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
+        customFront.run(15_000);
         for (int i = 0; i < 6; i++) {
-            String server = front.request("r" + i, "free");
-            front.control.ended(front.now, "r" + i, false, Outcome.FULL, server, null);
-            front.run(2000);
+            String server = customFront.request("r" + i, "free");
+            customFront.control.ended(customFront.now, "r" + i, false, Outcome.FULL, server, null);
+            customFront.run(2000);
         }
-        long retries = front.count("send ")
-                - front.actions.stream()
+        long retries = customFront.count("send ")
+                - customFront.actions.stream()
                         .filter(action -> action.startsWith("send "))
                         .map(action -> action.split(" ")[1])
                         .distinct()
@@ -217,67 +219,69 @@
 
     @Test
     void tenantWithAQuotaRoundedToZeroIsLimitedToItsShare() {
-        ScriptedFront front = new ScriptedFront(ScriptedFront.withTenants(
+        ScriptedFront customFront = new ScriptedFront(ScriptedFront.withTenants(
                 List.of(new SessionControl.Tenant("big", 0.7, 1), new SessionControl.Tenant("small", 0.3, 0))));
-        front.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
-        front.run(15_000);
-        front.play("r0", "free");
-        front.run(1500);
+        customFront.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
+        customFront.run(15_000);
+        customFront.play("r0", "free");
+        customFront.run(1500);
         for (int i = 0; i < 20; i++) {
-            front.control.request(
-                    front.now,
+            customFront.control.request(
+                    customFront.now,
                     new SessionControl.Request("s" + i, "free", "small", null, "title", 3000, 0, 4, 4, false, false));
-            String server = front.sentTo("s" + i);
-            front.control.ended(front.now, "s" + i, false, Outcome.ERROR, server, null);
-            front.control.gone(front.now, "s" + i);
+            String server = customFront.sentTo("s" + i);
+            customFront.control.ended(customFront.now, "s" + i, false, Outcome.ERROR, server, null);
+            customFront.control.gone(customFront.now, "s" + i);
         }
         for (int i = 0; i < 6; i++) {
-            front.run(1000);
-            front.control.note(front.now, "r0", front.sentTo("r0"), NoteKind.UPLINK_USE, 0.91);
+            customFront.run(1000);
+            customFront.control.note(customFront.now, "r0", customFront.sentTo("r0"), NoteKind.UPLINK_USE, 0.91);
         }
-        front.actions.clear();
-        front.control.request(
-                front.now, new SessionControl.Request("b", "free", "big", null, "title", 3000, 0, 4, 4, false, false));
-        front.control.request(
-                front.now,
+        customFront.actions.clear();
+        customFront.control.request(
+                customFront.now,
+                new SessionControl.Request("b", "free", "big", null, "title", 3000, 0, 4, 4, false, false));
+        customFront.control.request(
+                customFront.now,
                 new SessionControl.Request("s", "free", "small", null, "title", 3000, 0, 4, 4, false, false));
-        assertEquals(1, front.count("send b "));
-        assertEquals(0, front.count("rate b 0"));
+        assertEquals(1, customFront.count("send b "));
+        assertEquals(0, customFront.count("rate b 0"));
         assertEquals(
                 1,
-                front.count("refuse s ") + (front.count("send s ") - front.count("rate s ")),
-                front.actions.toString());
+                customFront.count("refuse s ") + (customFront.count("send s ") - customFront.count("rate s ")),
+                customFront.actions.toString());
     }
 
     @Test
     void takenOverSessionsDoNotCountAsRequestsOfTheirTenant() {
-        ScriptedFront front = new ScriptedFront(ScriptedFront.withTenants(
+        ScriptedFront customFront = new ScriptedFront(ScriptedFront.withTenants(
                 List.of(new SessionControl.Tenant("big", 0.7, 2), new SessionControl.Tenant("small", 0.3, 1))));
-        front.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
+        customFront.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
         for (int i = 0; i < 40; i++) {
-            front.control.takenOver(
-                    front.now,
+            customFront.control.takenOver(
+                    customFront.now,
                     new SessionControl.Request("o" + i, "free", "big", null, "title", 0, 0, 4, 4, false, false),
                     "s" + i % 4);
         }
-        front.run(4000);
+        customFront.run(4000);
         for (int i = 0; i < 4; i++) {
-            front.control.note(front.now, "o" + i, "s" + i, NoteKind.UPLINK_USE, 0.90);
+            customFront.control.note(customFront.now, "o" + i, "s" + i, NoteKind.UPLINK_USE, 0.90);
         }
-        front.actions.clear();
-        front.control.request(
-                front.now, new SessionControl.Request("b", "free", "big", null, "title", 3000, 0, 4, 4, false, false));
-        assertEquals(1, front.count("send b "));
+        customFront.actions.clear();
+        customFront.control.request(
+                customFront.now,
+                new SessionControl.Request("b", "free", "big", null, "title", 3000, 0, 4, 4, false, false));
+        assertEquals(1, customFront.count("send b "));
     }
 
     @Test
     void frontsWithoutLoadMeasurementsChooseDifferentHolders() {
         java.util.Set<String> picked = new java.util.HashSet<>();
         for (int seed = 0; seed < 20; seed++) {
-            ScriptedFront front = new ScriptedFront(ScriptedFront.settings(20, 3, ScriptedFront.rules()), seed);
-            front.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
-            front.run(15_000);
-            picked.add(front.request("r", "free"));
+            ScriptedFront customFront = new ScriptedFront(ScriptedFront.settings(20, 3, ScriptedFront.rules()), seed);
+            customFront.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
+            customFront.run(15_000);
+            picked.add(customFront.request("r", "free"));
         }
         assertTrue(picked.size() >= 3, picked.toString());
     }
@@ -286,19 +290,19 @@
     void onlySomeOfManyFrontsStepDownOnASharedLink() {
         int stepped = 0;
         for (int seed = 0; seed < 200; seed++) {
-            ScriptedFront front = new ScriptedFront(ScriptedFront.settings(100, 3, ScriptedFront.rules()), seed);
-            front.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
-            front.run(15_000);
-            String server = front.play("r", "free");
-            front.run(4000);
-            front.control.note(front.now, "r", server, NoteKind.UPLINK_USE, 0.2);
-            front.control.note(front.now, "r", server, NoteKind.LINK_USE, 0.2);
-            front.run(14_000);
-            front.actions.clear();
-            front.control.note(front.now, "r", server, NoteKind.UPLINK_USE, 0.2);
-            front.control.note(front.now, "r", server, NoteKind.LINK_USE, 0.95);
-            front.run(2000);
-            stepped += front.count("rate r ") > 0 ? 1 : 0;
+            ScriptedFront customFront = new ScriptedFront(ScriptedFront.settings(100, 3, ScriptedFront.rules()), seed);
+            customFront.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0, 1, 2, 3);
+            customFront.run(15_000);
+            String server = customFront.play("r", "free");
+            customFront.run(4000);
+            customFront.control.note(customFront.now, "r", server, NoteKind.UPLINK_USE, 0.2);
+            customFront.control.note(customFront.now, "r", server, NoteKind.LINK_USE, 0.2);
+            customFront.run(14_000);
+            customFront.actions.clear();
+            customFront.control.note(customFront.now, "r", server, NoteKind.UPLINK_USE, 0.2);
+            customFront.control.note(customFront.now, "r", server, NoteKind.LINK_USE, 0.95);
+            customFront.run(2000);
+            stepped += customFront.count("rate r ") > 0 ? 1 : 0;
         }
         // The utilization is slightly above what the rung allows: some fronts must step down, but not all of them.
         assertTrue(stepped > 5 && stepped < 150, stepped + " of 200 stepped");
@@ -306,20 +310,20 @@
 
     @Test
     void timedOutAttemptDoesNotMarkAServerColdWhileASessionPlaysOn() {
-        ScriptedFront front = new ScriptedFront(ScriptedFront.settings(100, 3, ScriptedFront.rules()));
-        front.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0);
-        front.run(15_000);
-        front.play("old", "free");
-        front.run(5000);
-        front.request("lost", "free");
-        front.run(600);
-        front.control.ended(front.now, "lost", false, Outcome.TIMEOUT, "s0", null);
-        front.run(2000);
-        front.control.note(front.now, "old", "s0", NoteKind.LINK_USE, 0.3);
-        front.control.note(front.now, "old", "s0", NoteKind.UPLINK_USE, 0.3);
-        assertEquals("s0", front.request("r1", "paid"));
-        assertEquals("s0", front.request("r2", "paid"));
-        assertEquals(0, front.count("move old"));
+        ScriptedFront customFront = new ScriptedFront(ScriptedFront.settings(100, 3, ScriptedFront.rules()));
+        customFront.list(ListKind.KEPT, ServerState.READY, Double.NaN, 0);
+        customFront.run(15_000);
+        customFront.play("old", "free");
+        customFront.run(5000);
+        customFront.request("lost", "free");
+        customFront.run(600);
+        customFront.control.ended(customFront.now, "lost", false, Outcome.TIMEOUT, "s0", null);
+        customFront.run(2000);
+        customFront.control.note(customFront.now, "old", "s0", NoteKind.LINK_USE, 0.3);
+        customFront.control.note(customFront.now, "old", "s0", NoteKind.UPLINK_USE, 0.3);
+        assertEquals("s0", customFront.request("r1", "paid"));
+        assertEquals("s0", customFront.request("r2", "paid"));
+        assertEquals(0, customFront.count("move old"));
     }
 
     @Test
@@ -340,20 +344,20 @@
     void hundredFrontsStayWithinTheBudgetOfOneColdServer() {
         List<ScriptedFront> fronts = new java.util.ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            ScriptedFront front = new ScriptedFront(ScriptedFront.settings(100, 3, ScriptedFront.rules()), i);
-            front.run(15_000);
-            front.list(ListKind.WHOLE, ServerState.READY, front.now, 0);
-            fronts.add(front);
+            ScriptedFront participant = new ScriptedFront(ScriptedFront.settings(100, 3, ScriptedFront.rules()), i);
+            participant.run(15_000);
+            participant.list(ListKind.WHOLE, ServerState.READY, participant.now, 0);
+            fronts.add(participant);
         }
         int sent = 0;
         for (int second = 0; second < 12; second++) {
-            for (ScriptedFront front : fronts) {
-                front.request("r" + second, "free");
-                front.run(1000);
+            for (ScriptedFront participant : fronts) {
+                participant.request("r" + second, "free");
+                participant.run(1000);
             }
         }
-        for (ScriptedFront front : fronts) {
-            sent += (int) front.count("send ");
+        for (ScriptedFront participant : fronts) {
+            sent += (int) participant.count("send ");
         }
         // 24 places over 12 s at a share of 0.4, doubled, are 1.6 set-ups a second. Constant requests use most of them.
         assertTrue(sent > 8 && sent <= 1.6 * 12, sent + " sent in 12 s");
--- a/core/src/test/java/spanrill/HostileEventsTest.java
+++ b/core/src/test/java/spanrill/HostileEventsTest.java
@@ -99,7 +99,7 @@
                 requests.put("r" + step, request);
                 front.control.request(
                         front.now,
-                        front.request("r" + step, request.paid ? "paid" : "free", 500 + random.nextInt(2500)));
+                        front.newRequest("r" + step, request.paid ? "paid" : "free", 500 + random.nextInt(2500)));
             } else if (eventKind == 3) {
                 int cell = random.nextInt(4);
                 ServerState state = ServerState.values()[random.nextInt(3)];
--- a/core/src/test/java/spanrill/ScriptedFront.java
+++ b/core/src/test/java/spanrill/ScriptedFront.java
@@ -108,13 +108,13 @@
         control.servers(now, kind, servers);
     }
 
-    Request request(String id, String className, double leftMs) {
+    Request newRequest(String id, String className, double leftMs) {
         return new Request(id, className, null, "k" + id, "title", leftMs, 0, 4, 4, false, false);
     }
 
     /** Sends a request to the module and returns the server that it was sent to, or null. */
     String request(String id, String className) {
-        control.request(now, request(id, className, 3000));
+        control.request(now, newRequest(id, className, 3000));
         return sentTo(id);
     }
 
