--- a/node/src/main/java/spanrill/node/FrontNode.java
+++ b/node/src/main/java/spanrill/node/FrontNode.java
@@ -34,13 +34,15 @@
 import spanrill.session.EventSink;
 import spanrill.session.Scheduler;
 
-/** A front node that runs: one event loop with viewers, sessions, servers and discovery. */
+/**
+ * A running front node: viewer connections, sessions, server connections and discovery on one event loop.
+ */
 public final class FrontNode implements AutoCloseable {
-    private static final long STOP_LOOK_MS = 20;
-    private static final long START_LOOK_MS = 5;
-    private static final long NONE_ACCEPTED = -1;
-    // Set-ups that one answer which can't be read may spoil, where the settings allow more.
-    private static final int MOST_ON_ONE = 32;
+    private static final long SHUTDOWN_CHECK_INTERVAL_MS = 20;
+    private static final long CATCH_UP_CHECK_INTERVAL_MS = 5;
+    private static final long NO_ACCEPTED_COUNT = -1;
+    // Caps max_streams of the settings: one unreadable answer fails every set-up that is open on its connection.
+    private static final int MAX_SET_UPS_PER_CONNECTION = 32;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -53,124 +55,129 @@
     private final SessionHost host;
     private final DiscoveryClient discovery;
     private volatile Channel listening;
-    private final List<ServerListUpdate> early = new ArrayList<>();
-    private boolean begun;
-    private ScheduledFuture<?> stopping;
+    private final List<ServerListUpdate> updatesBeforeStart = new ArrayList<>();
+    private boolean moduleStarted;
+    private ScheduledFuture<?> shutdownTimer;
 
-    private FrontNode(NodeConfig config, EventSink log, EventSink trace, Runnable meanwhile) {
+    private FrontNode(NodeConfig config, EventSink log, EventSink trace, Runnable startUpTask) {
         this.config = config;
         this.log = log;
         scheduler = new EventLoopScheduler(loop, new Clock());
-        FileDescriptorBudget shares = new FileDescriptorBudget(config.sockets());
+        FileDescriptorBudget descriptorBudget = new FileDescriptorBudget(config.sockets());
         viewers = new ClientListener(
-                loop, new ConnectionBudget(shares.maxViewerConnections()), config.retryAfter(), log, trace);
+                loop,
+                new ConnectionBudget(descriptorBudget.maxViewerConnections()),
+                config.retryAfterAllowed(),
+                log,
+                trace);
         servers = new ConnectionPools(
-                loop, limits(config), new ConnectionBudget(shares.maxServerConnections()), log, trace);
+                loop, serverLimits(config), new ConnectionBudget(descriptorBudget.maxServerConnections()), log, trace);
         host = new SessionHost(
                 config.settings(),
                 scheduler,
                 log,
                 trace,
                 servers,
-                viewers::any,
+                viewers::linkForRelease,
                 actions -> new Control(config.settings(), config.seed(), actions));
-        discovery = new DiscoveryClient(loop, log, config.discovery(), config.knownNo(), config.seed(), this::told);
+        discovery = new DiscoveryClient(
+                loop, log, config.discovery(), config.lastKnownUpdate(), config.seed(), this::onServerListUpdate);
         loop.submit(discovery::start).syncUninterruptibly();
-        meanwhile.run();
+        startUpTask.run();
         Promise<Void> caughtUp = loop.newPromise();
-        loop.execute(() -> awaitList(caughtUp));
+        loop.execute(() -> checkCaughtUp(caughtUp));
         caughtUp.awaitUninterruptibly();
-        loop.submit(() -> begin(config.known())).syncUninterruptibly();
+        loop.submit(() -> startModule(config.knownUpdates())).syncUninterruptibly();
     }
 
     /**
-     * Listens for clients from now on.
+     * Starts to accept client connections.
      *
-     * @throws IOException when the address can't be had; the node is closed then
+     * @throws IOException when the listening address cannot be bound; the node is then closed
      */
     public void listen() throws IOException {
-        ChannelFuture bound = viewers.bind(group, config.listen(), host).awaitUninterruptibly();
-        if (!bound.isSuccess()) {
+        ChannelFuture bindFuture = viewers.bind(group, config.listen(), host).awaitUninterruptibly();
+        if (!bindFuture.isSuccess()) {
             close();
-            throw new IOException(
-                    "can't listen on " + config.listen() + ": " + bound.cause().getMessage());
+            throw new IOException("cannot listen on " + config.listen() + ": "
+                    + bindFuture.cause().getMessage());
         }
-        listening = bound.channel();
+        listening = bindFuture.channel();
     }
 
-    private static ServerLimits limits(NodeConfig config) {
+    private static ServerLimits serverLimits(NodeConfig config) {
         return new ServerLimits(
-                (int) Math.ceil(config.connectMs()),
-                config.idleMs(),
+                (int) Math.ceil(config.connectTimeoutMs()),
+                config.serverIdleTimeoutMs(),
                 FailureDetector.silenceThresholdMs(
                         config.settings().tellMs(), config.settings().seeMs()),
-                Math.min(MOST_ON_ONE, config.maxStreams()),
-                config.mayTest());
+                Math.min(MAX_SET_UPS_PER_CONNECTION, config.maxStreams()),
+                config.probingAllowed());
     }
 
     /**
-     * Starts a node that listens.
+     * Creates a node and starts to accept client connections.
      *
-     * @throws IOException when the address can't be had
+     * @throws IOException when the listening address cannot be bound
      */
     public static FrontNode start(NodeConfig config, EventSink log, EventSink trace) throws IOException {
         return start(config, log, trace, () -> {});
     }
 
     /**
-     * Prepares a node and listens.
+     * Creates a node, runs {@code startUpTask} and starts to accept client connections.
      *
-     * @throws IOException when the address can't be had
+     * @throws IOException when the listening address cannot be bound
      */
-    static FrontNode start(NodeConfig config, EventSink log, EventSink trace, Runnable meanwhile) throws IOException {
-        FrontNode node = prepare(config, log, trace, meanwhile);
+    static FrontNode start(NodeConfig config, EventSink log, EventSink trace, Runnable startUpTask) throws IOException {
+        FrontNode node = prepare(config, log, trace, startUpTask);
         node.listen();
         return node;
     }
 
     /**
-     * Prepares a node that does not listen yet. Discovery is asked first, since what it told counts
-     * whether it was asked or not; this returns once that is known, or can't be had, and {@code meanwhile}
-     * has run.
+     * Creates a node that does not accept client connections yet. Server list updates that discovery published
+     * before the start are binding, so discovery is queried first. Returns once those updates are applied, or
+     * cannot be obtained, and {@code startUpTask} has run while the query was under way.
      */
-    public static FrontNode prepare(NodeConfig config, EventSink log, EventSink trace, Runnable meanwhile) {
-        return new FrontNode(config, log, trace, meanwhile);
+    public static FrontNode prepare(NodeConfig config, EventSink log, EventSink trace, Runnable startUpTask) {
+        return new FrontNode(config, log, trace, startUpTask);
     }
 
-    private void awaitList(Promise<Void> caughtUp) {
+    private void checkCaughtUp(Promise<Void> caughtUp) {
         if (discovery.caughtUp()) {
             caughtUp.setSuccess(null);
         } else {
-            loop.schedule(() -> awaitList(caughtUp), START_LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> checkCaughtUp(caughtUp), CATCH_UP_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void begin(List<ServerListUpdate> known) {
+    private void startModule(List<ServerListUpdate> knownUpdates) {
         host.start();
         servers.start(host);
-        known.forEach(event -> listed(event, event.whole() ? ListKind.KEPT : ListKind.CHANGES));
-        begun = true;
-        early.forEach(this::told);
-        early.clear();
+        knownUpdates.forEach(update -> applyUpdate(update, update.complete() ? ListKind.KEPT : ListKind.CHANGES));
+        moduleStarted = true;
+        updatesBeforeStart.forEach(this::onServerListUpdate);
+        updatesBeforeStart.clear();
     }
 
-    /** Events of discovery; those that come before the module has started wait. */
-    private void told(ServerListUpdate event) {
-        if (begun) {
-            listed(event, event.whole() ? ListKind.WHOLE : ListKind.CHANGES);
+    /** Takes an update from discovery; one that arrives before the module is started is applied at the start. */
+    private void onServerListUpdate(ServerListUpdate update) {
+        if (moduleStarted) {
+            applyUpdate(update, update.complete() ? ListKind.WHOLE : ListKind.CHANGES);
         } else {
-            if (event.whole()) {
-                early.clear();
+            if (update.complete()) {
+                updatesBeforeStart.clear();
             }
-            early.add(event);
+            updatesBeforeStart.add(update);
         }
     }
 
-    private void listed(ServerListUpdate event, ListKind kind) {
-        List<Server> list = new ArrayList<>();
-        for (ServerListUpdate.Member member : event.members()) {
+    private void applyUpdate(ServerListUpdate update, ListKind kind) {
+        List<Server> listed = new ArrayList<>();
+        for (ServerListUpdate.Member member : update.members()) {
             Server server = member.server();
-            list.add(server);
+            listed.add(server);
             if (server.state() == ServerState.GONE) {
                 servers.onServerGone(server.id());
             } else {
@@ -181,52 +188,56 @@
             }
         }
         if (kind != ListKind.CHANGES) {
-            servers.retainOnly(list);
+            servers.retainOnly(listed);
         }
-        host.updateServers(kind, list);
-        // After the module has heard it: what comes back unsent goes elsewhere.
+        host.updateServers(kind, listed);
+        // After the module has the new list: it sends withdrawn attempts to other servers.
         servers.withdrawUnsent();
     }
 
-    /** Takes up what a new configuration changes: where discovery is asked. */
-    public void reconfigure(NodeConfig fresh) {
-        loop.execute(() -> discovery.moved(fresh.discovery()));
+    /** Applies a new configuration: only the address of discovery can change while the node runs. */
+    public void reconfigure(NodeConfig newConfig) {
+        loop.execute(() -> discovery.reconnectTo(newConfig.discovery()));
     }
 
     /**
-     * Ends by the stages of {@link GracefulShutdown}; {@code done} is told once, and has to end the process.
-     * A second call is without effect.
+     * Shuts down in the stages of {@link GracefulShutdown}, then calls {@code done} once, which has to end the
+     * process. A second call has no effect.
      */
     public void stop(Runnable done) {
         loop.execute(() -> {
-            if (stopping != null) {
+            if (shutdownTimer != null) {
                 return;
             }
-            double began = scheduler.now();
-            GracefulShutdown shutdown = new GracefulShutdown(config.deadlineMs());
+            double stopRequestedAt = scheduler.now();
+            GracefulShutdown shutdown = new GracefulShutdown(config.maxDeadlineMs());
             host.answerWithin(shutdown.answerDeadlineMs());
-            stopping = loop.scheduleAtFixedRate(
-                    () -> stop(shutdown, began, done), STOP_LOOK_MS, STOP_LOOK_MS, TimeUnit.MILLISECONDS);
+            shutdownTimer = loop.scheduleAtFixedRate(
+                    () -> stop(shutdown, stopRequestedAt, done),
+                    SHUTDOWN_CHECK_INTERVAL_MS,
+                    SHUTDOWN_CHECK_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         });
     }
 
-    private void stop(GracefulShutdown shutdown, double began, Runnable done) {
-        double sinceMs = scheduler.now() - began;
+    private void stop(GracefulShutdown shutdown, double stopRequestedAt, Runnable done) {
+        double elapsedMs = scheduler.now() - stopRequestedAt;
         switch (shutdown.nextStep(
-                sinceMs,
+                elapsedMs,
                 new GracefulShutdown.View(
                         viewers.size(),
                         host.openRequests(),
                         host.movingSessions() + servers.poolsWithPendingReleases(),
                         viewers.hasUnflushed() || servers.hasUnflushed()))) {
-            // What has arrived is read first: a request that lies unread is not to cross the end.
-            case DRAIN -> nextIteration.execute(() -> drain(began + shutdown.answerDeadlineMs(), NONE_ACCEPTED));
+            // Input that has arrived is read first, so that no unread request crosses the end of its connection.
+            case DRAIN ->
+                nextIteration.execute(() -> drain(stopRequestedAt + shutdown.answerDeadlineMs(), NO_ACCEPTED_COUNT));
             case END -> {
-                stopping.cancel(false);
+                shutdownTimer.cancel(false);
                 log.info(
                         "shutdown.end",
                         "afterMs",
-                        Math.round(sinceMs),
+                        Math.round(elapsedMs),
                         "connections",
                         viewers.size(),
                         "open",
@@ -237,48 +248,51 @@
         }
     }
 
-    /** Closes the listener once no connection waits to be accepted: those would be reset. */
-    private void drain(double answerBy, long acceptedBefore) {
+    /**
+     * Closes the listener and drains all connections once a loop iteration has accepted no new connection, or at the
+     * answer deadline. Closing the listener earlier would reset connections that wait to be accepted.
+     */
+    private void drain(double answerDeadline, long previouslyAccepted) {
         long accepted = viewers.accepted();
-        if (accepted != acceptedBefore && scheduler.now() < answerBy) {
-            nextIteration.execute(() -> drain(answerBy, accepted));
+        if (accepted != previouslyAccepted && scheduler.now() < answerDeadline) {
+            nextIteration.execute(() -> drain(answerDeadline, accepted));
             return;
         }
         log.info("shutdown.drain", "connections", viewers.size(), "open", host.openRequests());
         if (listening != null) {
             listening.close();
         }
-        viewers.shutDown(answerBy - scheduler.now());
+        viewers.shutDown(answerDeadline - scheduler.now());
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the node accepts client connections. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listening.localAddress();
     }
 
-    /** Sessions held, open or standing; may be asked from any thread. */
+    /** Returns the number of sessions, requested or established. May be called from any thread but the event loop. */
     public int sessionCount() {
         return loop.submit(host::sessionCount).syncUninterruptibly().getNow();
     }
 
-    /** The loop that all of it runs on: whoever holds it up decides what lies unread together. */
+    /** Returns the event loop of the node; tests block it so that several messages are read in one iteration. */
     Executor eventLoop() {
         return loop;
     }
 
-    /** True while something that was said lies in buffers of this process; may be asked from any thread. */
+    /** True while sent bytes wait in buffers of this process. May be called from any thread but the event loop. */
     boolean hasUnflushed() {
         return loop.submit(() -> viewers.hasUnflushed() || servers.hasUnflushed())
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** Waits until it is stopped. */
+    /** Waits until the node is closed. */
     public void join() throws InterruptedException {
         group.terminationFuture().await();
     }
 
-    /** Stops at once. */
+    /** Stops the event loop at once, without a drain. */
     @Override
     public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
--- a/node/src/main/java/spanrill/node/LineLog.java
+++ b/node/src/main/java/spanrill/node/LineLog.java
@@ -3,13 +3,15 @@
 import java.io.PrintStream;
 import spanrill.session.EventSink;
 
-/** One line an event on a stream, so many a second at most: a log must not cost the service its time. */
+/**
+ * Writes events to a stream, one line each. Lines above a limit per second are dropped, to bound the cost of logging.
+ */
 final class LineLog implements EventSink {
-    private static final int MOST_A_SECOND = 50;
+    private static final int MAX_LINES_PER_SECOND = 50;
 
     private final PrintStream out;
-    private long second;
-    private int lines;
+    private long currentSecond;
+    private int linesThisSecond;
 
     LineLog(PrintStream out) {
         this.out = out;
@@ -26,10 +28,10 @@
     }
 
     private synchronized void write(String event, Throwable cause, Object... fields) {
-        long now = System.nanoTime() / 1_000_000_000;
-        lines = now == second ? lines + 1 : 0;
-        second = now;
-        if (lines >= MOST_A_SECOND) {
+        long nowS = System.nanoTime() / 1_000_000_000;
+        linesThisSecond = nowS == currentSecond ? linesThisSecond + 1 : 0;
+        currentSecond = nowS;
+        if (linesThisSecond >= MAX_LINES_PER_SECOND) {
             return;
         }
         StringBuilder line = new StringBuilder(event);
@@ -37,10 +39,10 @@
             line.append(' ').append(fields[i]).append('=').append(fields[i + 1]);
         }
         if (cause != null) {
-            StackTraceElement[] trace = cause.getStackTrace();
+            StackTraceElement[] stackTrace = cause.getStackTrace();
             line.append(" cause=").append(cause);
-            for (int i = 0; i < Math.min(6, trace.length); i++) {
-                line.append(" at ").append(trace[i]);
+            for (int i = 0; i < Math.min(6, stackTrace.length); i++) {
+                line.append(" at ").append(stackTrace[i]);
             }
         }
         out.println(line);
--- a/node/src/main/java/spanrill/node/Main.java
+++ b/node/src/main/java/spanrill/node/Main.java
@@ -7,70 +7,71 @@
 import spanrill.node.config.NodeConfig;
 import spanrill.setup.InvalidFieldException;
 
-/** Entry point of the front node; its configuration is the file that {@code EDGE_CONFIG} names. */
+/** Entry point of the front node. The environment variable {@code EDGE_CONFIG} names its configuration file. */
 public final class Main {
-    private static final int WRONG_SETUP = 2;
-    private static final int WARM_SESSIONS = 3000;
-    private static final double WARM_MS = 800;
+    private static final int EXIT_BAD_INPUT = 2;
+    private static final int MAX_WARM_UP_SESSIONS = 3000;
+    private static final double MAX_WARM_UP_MS = 800;
 
     private Main() {}
 
-    /** Runs a front node until it is told to stop; with {@code once} it stops as soon as it serves. */
+    /** Runs a front node until SIGTERM; with the argument {@code once} it stops as soon as it accepts connections. */
     public static void main(String[] args) throws InterruptedException {
         String file = System.getenv("EDGE_CONFIG");
         if (file == null || file.isEmpty()) {
-            System.err.println("spanrill node: EDGE_CONFIG is not set: it names the configuration file");
-            System.exit(WRONG_SETUP);
+            System.err.println(
+                    "spanrill node: environment variable EDGE_CONFIG is not set; it must name the configuration file");
+            System.exit(EXIT_BAD_INPUT);
         }
         LineLog log = new LineLog(System.out);
-        AtomicReference<FrontNode> running = new AtomicReference<>();
-        AtomicBoolean reloadLater = new AtomicBoolean();
-        takeSignals(running, reloadLater, file, log);
+        AtomicReference<FrontNode> runningNode = new AtomicReference<>();
+        AtomicBoolean reloadRequested = new AtomicBoolean();
+        installSignalHandlers(runningNode, reloadRequested, file, log);
         try {
             NodeConfig config = NodeConfig.read(Path.of(file));
             FrontNode node = FrontNode.prepare(config, log, Trace.open(config.name()), () -> warmUp(config, log));
-            running.set(node);
+            runningNode.set(node);
             node.listen();
-        } catch (InvalidFieldException fault) {
-            System.err.println("spanrill node: " + file + ": " + fault.getMessage());
-            System.exit(WRONG_SETUP);
+        } catch (InvalidFieldException e) {
+            System.err.println("spanrill node: " + file + ": " + e.getMessage());
+            System.exit(EXIT_BAD_INPUT);
         } catch (IOException e) {
             System.err.println("spanrill node: " + file + ": " + e.getMessage());
-            System.exit(WRONG_SETUP);
+            System.exit(EXIT_BAD_INPUT);
         }
-        log.info("node.serving", "listen", running.get().address());
-        if (reloadLater.get()) {
-            reload(running.get(), file, log);
+        log.info("node.serving", "listen", runningNode.get().address());
+        if (reloadRequested.get()) {
+            reload(runningNode.get(), file, log);
         }
         if (args.length == 1 && args[0].equals("once")) {
-            // The build starts it so to make the class-data archive: it ends as after SIGTERM.
-            stop(running.get(), log);
+            // The build makes the class-data archive with this argument; the node shuts down as after SIGTERM.
+            stop(runningNode.get(), log);
         }
-        running.get().join();
+        runningNode.get().join();
     }
 
-    /** Before all else, and in place of the runtime's own handlers: SIGHUP would end the program. */
-    private static void takeSignals(
-            AtomicReference<FrontNode> running, AtomicBoolean reloadLater, String file, LineLog log) {
-        Runnable hangUp = () -> {
-            reloadLater.set(true);
-            if (running.get() != null) {
-                reload(running.get(), file, log);
+    /** Replaces the handlers of the runtime before anything else runs, since its SIGHUP handler ends the process. */
+    private static void installSignalHandlers(
+            AtomicReference<FrontNode> runningNode, AtomicBoolean reloadRequested, String file, LineLog log) {
+        Runnable reloadAction = () -> {
+            reloadRequested.set(true);
+            if (runningNode.get() != null) {
+                reload(runningNode.get(), file, log);
             }
         };
-        if (!Signals.on("HUP", hangUp)) {
+        if (!Signals.handle("HUP", reloadAction)) {
             log.error(
                     "signal.ignored",
                     null,
                     "signal",
                     "HUP",
                     "reason",
-                    "started with it ignored: a new configuration can't be taken up");
+                    "the process was started with SIGHUP ignored, so the configuration cannot be reloaded");
         }
-        Signals.on("TERM", () -> stop(running.get(), log));
+        Signals.handle("TERM", () -> stop(runningNode.get(), log));
     }
 
-    /** Ends the process by stages, or at once where it has accepted nothing yet. */
+    /** Shuts the node down in stages, or ends the process at once when the node has not been started yet. */
     private static void stop(FrontNode node, LineLog log) {
         log.info("node.stopping", "phase", node == null ? "start" : "service");
         if (node == null) {
@@ -80,9 +81,9 @@
     }
 
     private static void warmUp(NodeConfig config, LineLog log) {
-        long began = System.nanoTime();
-        int played = WarmUp.run(config, WARM_SESSIONS, WARM_MS);
-        log.info("node.warm", "sessions", played, "ms", (System.nanoTime() - began) / 1_000_000);
+        long startedNs = System.nanoTime();
+        int sessions = WarmUp.run(config, MAX_WARM_UP_SESSIONS, MAX_WARM_UP_MS);
+        log.info("node.warm", "sessions", sessions, "ms", (System.nanoTime() - startedNs) / 1_000_000);
     }
 
     private static void reload(FrontNode node, String file, LineLog log) {
--- a/node/src/main/java/spanrill/node/WarmUp.java
+++ b/node/src/main/java/spanrill/node/WarmUp.java
@@ -30,97 +30,104 @@
 import spanrill.wire.platform.SetUp;
 
 /**
- * Plays some hundred sessions through the codec, the host and a module of its own before the node takes
- * viewers, in virtual time and without a socket. A cold runtime needs tens of milliseconds for a set-up,
- * and at a start all viewers come at once: what would be lost then is many times what the start is longer.
+ * Runs simulated sessions through the codec, the session host and a separate instance of the module before the
+ * node accepts viewers, in virtual time and without sockets. On a cold runtime a set-up takes tens of milliseconds,
+ * and after a start all viewers connect at once: the requests lost then would cost far more than the longer start.
  */
 final class WarmUp {
-    private static final double GAP_MS = 4;
-    private static final double ANSWER_MS = 60;
-    private static final double LASTS_MS = 1500;
+    private static final double ARRIVAL_INTERVAL_MS = 4;
+    private static final double ANSWER_DELAY_MS = 60;
+    private static final double SESSION_LENGTH_MS = 1500;
 
-    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
+    private final VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
     private final NodeConfig config;
     private final SessionHost host;
-    private final Sink viewer = new Sink();
-    private int asked;
+    private final DiscardingClientLink clientLink = new DiscardingClientLink();
+    private int requestedSessions;
 
     private WarmUp(NodeConfig config) {
         this.config = config;
         host = new SessionHost(
                 config.settings(),
-                time,
+                scheduler,
                 EventSink.none(),
                 EventSink.none(),
-                new Far(),
-                () -> viewer,
+                new SimulatedServers(),
+                () -> clientLink,
                 actions -> new Control(config.settings(), config.seed(), actions));
     }
 
-    /** Plays so many sessions, for so long at most; returns how many it came to. */
-    static int run(NodeConfig config, int sessions, double mostMs) {
+    /**
+     * Runs up to {@code sessions} sessions for at most {@code maxMs} of wall-clock time; returns how many were
+     * requested.
+     */
+    static int run(NodeConfig config, int sessions, double maxMs) {
         WarmUp warmUp = new WarmUp(config);
-        return config.settings().classes().isEmpty() ? 0 : warmUp.play(sessions, mostMs);
+        return config.settings().classes().isEmpty() ? 0 : warmUp.runSessions(sessions, maxMs);
     }
 
-    private int play(int sessions, double mostMs) {
-        long until = System.nanoTime() + (long) (mostMs * 1e6);
+    private int runSessions(int sessions, double maxMs) {
+        long deadlineNs = System.nanoTime() + (long) (maxMs * 1e6);
         host.start();
-        for (ServerListUpdate event : config.known()) {
-            List<Server> list = new ArrayList<>();
-            event.members().forEach(member -> list.add(member.server()));
-            host.updateServers(event.whole() ? ListKind.KEPT : ListKind.CHANGES, list);
+        for (ServerListUpdate update : config.knownUpdates()) {
+            List<Server> servers = new ArrayList<>();
+            update.members().forEach(member -> servers.add(member.server()));
+            host.updateServers(update.complete() ? ListKind.KEPT : ListKind.CHANGES, servers);
         }
         for (int i = 0; i < sessions; i++) {
-            int number = i;
-            time.schedule(i * GAP_MS, () -> ask(number));
+            int sequence = i;
+            scheduler.schedule(i * ARRIVAL_INTERVAL_MS, () -> requestSession(sequence));
         }
-        while (asked < sessions && time.now() < sessions * GAP_MS && System.nanoTime() < until) {
-            time.runUntil(time.now() + GAP_MS);
+        while (requestedSessions < sessions
+                && scheduler.now() < sessions * ARRIVAL_INTERVAL_MS
+                && System.nanoTime() < deadlineNs) {
+            scheduler.runUntil(scheduler.now() + ARRIVAL_INTERVAL_MS);
         }
-        return asked;
+        return requestedSessions;
     }
 
-    private void ask(int number) {
+    private void requestSession(int sequence) {
         List<ServiceClass> classes = config.settings().classes();
-        String text = "home:" + number % config.settings().cells() + ";copies:"
+        String attributes = "home:" + sequence % config.settings().cells() + ";copies:"
                 + Math.min(3, config.settings().cells()) + ";top:"
                 + (config.settings().rungKb().size() - 1) + ";viewer:"
-                + HexFormat.of().toHexDigits((long) number);
-        Message message = through(new Message(MessageType.SET_UP, number + 1L)
-                .with(Parameter.CLASS, classes.get(number % classes.size()).name())
+                + HexFormat.of().toHexDigits((long) sequence);
+        Message message = encodeAndDecode(new Message(MessageType.SET_UP, sequence + 1L)
+                .with(Parameter.CLASS, classes.get(sequence % classes.size()).name())
                 .with(Parameter.WAIT, "1000")
-                .with(Parameter.TITLE, HexFormat.of().toHexDigits(number % 50L))
-                .with(Parameter.ATTRIBUTES, text)
+                .with(Parameter.TITLE, HexFormat.of().toHexDigits(sequence % 50L))
+                .with(Parameter.ATTRIBUTES, attributes)
                 .with(Parameter.DESCRIPTION, "warm".getBytes(StandardCharsets.US_ASCII)));
         try {
             SetUp setUp = SetUp.of(message);
             if (host.isAllowed(setUp)) {
-                host.setUp(setUp, viewer, setUp.waitMs());
-                asked++;
+                host.setUp(setUp, clientLink, setUp.waitMs());
+                requestedSessions++;
             }
-        } catch (InvalidFieldException fault) {
-            throw new IllegalStateException("the warm-up's own set-up", fault);
+        } catch (InvalidFieldException e) {
+            throw new IllegalStateException("warm-up built an invalid set-up", e);
         }
     }
 
-    /** A message as the other side of a connection reads it. */
-    private static Message through(Message message) {
-        ByteBuf wire = Unpooled.buffer(message.size());
-        message.write(wire);
-        ArrayDeque<Message> read = new ArrayDeque<>();
-        new MessageDecoder().feed(wire, read::add);
-        wire.release();
-        return read.poll();
+    /** Encodes and decodes a message, as if it crossed a connection. */
+    private static Message encodeAndDecode(Message message) {
+        ByteBuf buffer = Unpooled.buffer(message.size());
+        message.write(buffer);
+        ArrayDeque<Message> decoded = new ArrayDeque<>();
+        new MessageDecoder().feed(buffer, decoded::add);
+        buffer.release();
+        return decoded.poll();
     }
 
-    /** Servers that answer all but a few, tell of themselves, and end sessions after a while. */
-    private final class Far implements ServerSide {
+    /**
+     * Simulated servers: they refuse one set-up in 40 as full, answer the others with two notes, and end each session.
+     */
+    private final class SimulatedServers implements ServerSide {
         @Override
         public void setUp(Attempt attempt) {
-            Message message = through(new Message(MessageType.SET_UP, attempt.session())
+            Message message = encodeAndDecode(new Message(MessageType.SET_UP, attempt.session())
                     .with(Parameter.DESCRIPTION, attempt.setUp().description()));
-            time.schedule(ANSWER_MS, () -> {
+            scheduler.schedule(ANSWER_DELAY_MS, () -> {
                 if (attempt.session() % 40 == 0) {
                     host.onAttemptEnded(attempt, Outcome.FULL, null);
                     return;
@@ -128,8 +135,9 @@
                 host.onAnswer(attempt, message.get(Parameter.DESCRIPTION));
                 host.onNote(attempt.server(), attempt.session(), NoteKind.LINK_USE, 0.5);
                 host.onNote(attempt.server(), attempt.session(), NoteKind.UPLINK_USE, 0.6);
-                time.schedule(
-                        LASTS_MS, () -> host.onSessionEnded(attempt.server(), attempt.session(), Outcome.OK, null));
+                scheduler.schedule(
+                        SESSION_LENGTH_MS,
+                        () -> host.onSessionEnded(attempt.server(), attempt.session(), Outcome.OK, null));
             });
         }
 
@@ -148,7 +156,8 @@
         public void setEstablishedSessions(String server, int sessions) {}
     }
 
-    private static final class Sink implements ClientLink {
+    /** A client connection that encodes what the node sends and discards the result. */
+    private static final class DiscardingClientLink implements ClientLink {
         @Override
         public boolean isWritable() {
             return true;
@@ -156,19 +165,19 @@
 
         @Override
         public void sendAnswer(long session, byte[] description) {
-            through(new Message(MessageType.ANSWER, session).with(Parameter.DESCRIPTION, description));
+            encodeAndDecode(new Message(MessageType.ANSWER, session).with(Parameter.DESCRIPTION, description));
         }
 
         @Override
         public void requestWithdrawn(long session) {}
 
         @Override
-        public void sendRelease(long session, ReleaseReason end, double stayAwayMs) {
-            through(new Message(MessageType.RELEASE, session).withCause(16));
+        public void sendRelease(long session, ReleaseReason reason, double retryAfterMs) {
+            encodeAndDecode(new Message(MessageType.RELEASE, session).withCause(16));
         }
 
         @Override
-        public void establishedSessionsChanged(boolean more) {}
+        public void establishedSessionsChanged(boolean added) {}
 
         @Override
         public void sendMove(long session) {}
--- a/node/src/main/java/spanrill/node/client/ClientConnection.java
+++ b/node/src/main/java/spanrill/node/client/ClientConnection.java
@@ -31,52 +31,53 @@
 import spanrill.wire.platform.SetUp;
 
 /**
- * One client connection: many sessions, each message checked before the sessions see it. How it ends is
- * decided by its {@link ClientConnectionState}; this class carries that out.
+ * A client connection, which carries the messages of many sessions. Each message is validated before it is passed
+ * to the {@link SessionHost}. {@link ClientConnectionState} decides how the connection ends; this class carries that
+ * out.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientLink {
-    /** More unflushed bytes than this, and the client reads far slower than it asks. */
-    private static final long MOST_UNFLUSHED_BYTES = 256 * 1024;
-    /** A client that has read nothing for this long while its buffer is full does not read. */
-    private static final double STALLED_MS = 1000;
-    /** The first request follows a new connection at once, but may be under way for so long; ms. */
-    private static final double REQUEST_UNDER_WAY_MS = 300;
+    /** With more unflushed bytes the client reads far more slowly than it sends requests. */
+    private static final long MAX_UNFLUSHED_BYTES = 256 * 1024;
+    /** Time without a completed write, while the write buffer is full, after which the client counts as not reading. */
+    private static final double WRITE_STALL_TIMEOUT_MS = 1000;
+    /** Clients send a request at once on a new connection; the request may take this long to arrive. */
+    private static final double MAX_REQUEST_TRANSIT_MS = 300;
 
     private final ClientListener listener;
     private final SessionHost host;
-    private final boolean retryAfter;
+    private final boolean retryAfterAllowed;
     private final MessageDecoder decoder = new MessageDecoder();
     private final ClientConnectionState state = new ClientConnectionState();
-    private final AbuseLimiter abuse = new AbuseLimiter();
+    private final AbuseLimiter abuseLimiter = new AbuseLimiter();
     private final Set<Long> openRequests = new LinkedHashSet<>();
     private final RecentAnswers recentAnswers = new RecentAnswers();
-    private final ChannelFutureListener flushed = future -> flushed();
+    private final ChannelFutureListener flushListener = future -> onFlushed();
     private final double acceptedAt = Clock.monotonicMs();
-    private double usefulAt = acceptedAt;
-    private double flushedAt = acceptedAt;
-    private double messageBeganAt = Double.NaN;
-    private long messages;
-    private int standing;
-    /** Something useful came on it: a set-up that could be used, or a test. */
-    private boolean proven;
-    /** A client was served on it: not so where only the platform tests. */
+    private double lastUsefulAt = acceptedAt;
+    private double lastFlushAt = acceptedAt;
+    private double partialMessageSince = Double.NaN;
+    private long messagesReceived;
+    private int establishedSessions;
+    /** True once a valid set-up or a platform test was received on the connection. */
+    private boolean receivedUseful;
+    /** True once a session was answered or taken over on the connection, so not where only the platform tests. */
     private boolean served;
 
-    private boolean written;
-    /** More of what has arrived is about to be read: it comes before any end. */
-    private boolean reading;
-    /** The loop is about to read what has arrived, before this connection may end. */
-    private boolean readingFirst;
-    /** What had arrived has just been read. */
+    private boolean anyWritten;
+    /** True while the channel is reading; the next step of closing the connection waits until the read is complete. */
+    private boolean readInProgress;
+    /** True while a loop iteration is awaited that reads pending input before the connection may end. */
+    private boolean readScheduled;
+    /** True while the next step is decided right after pending input was read. */
     private boolean inputRead;
 
     private int discardedRequests;
     private SocketChannel channel;
 
-    ClientConnection(ClientListener listener, SessionHost host, boolean retryAfter) {
+    ClientConnection(ClientListener listener, SessionHost host, boolean retryAfterAllowed) {
         this.listener = listener;
         this.host = host;
-        this.retryAfter = retryAfter;
+        this.retryAfterAllowed = retryAfterAllowed;
     }
 
     @Override
@@ -84,23 +85,23 @@
         channel = (SocketChannel) ctx.channel();
     }
 
-    // ---- input
+    // ---- Input
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object part) {
-        ByteBuf in = (ByteBuf) part;
-        reading = true;
+    public void channelRead(ChannelHandlerContext ctx, Object buffer) {
+        ByteBuf in = (ByteBuf) buffer;
+        readInProgress = true;
         try {
             if (state.phase() == Phase.CLOSING) {
                 state.onDiscarded(in.readableBytes());
             }
             if (state.readable()) {
-                decoder.feed(in, this::message);
-                messageBeganAt = messageBegan();
+                decoder.feed(in, this::handleMessage);
+                partialMessageSince = partialMessageStart();
             }
-        } catch (MalformedFrameException fault) {
+        } catch (MalformedFrameException e) {
             decoder.release();
-            drain(CloseReason.UNREADABLE);
+            startDrain(CloseReason.UNREADABLE);
         } finally {
             in.release();
         }
@@ -108,145 +109,150 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        reading = false;
-        advance();
+        readInProgress = false;
+        runNextStep();
     }
 
-    private double messageBegan() {
+    private double partialMessageStart() {
         if (!decoder.hasPartialMessage()) {
             return Double.NaN;
         }
-        return Double.isNaN(messageBeganAt) ? Clock.monotonicMs() : messageBeganAt;
+        return Double.isNaN(partialMessageSince) ? Clock.monotonicMs() : partialMessageSince;
     }
 
-    /** Takes one message; false when no more can be read. */
-    private boolean message(Message message) {
-        listener.came(this, message);
-        messages++;
-        messageBeganAt = Double.NaN;
+    /** Handles one message; returns false when the connection can read no further message. */
+    private boolean handleMessage(Message message) {
+        listener.traceReceived(this, message);
+        messagesReceived++;
+        partialMessageSince = Double.NaN;
         boolean useful =
                 switch (message.type()) {
-                    case SET_UP -> setUp(message);
-                    case RELEASE -> free(message, host.onClientRelease(message.session()));
-                    case RELEASE_ACKNOWLEDGED -> free(message, host.onReleaseAcknowledged(message.session()));
-                    case TEST -> free(message, test(message));
-                    default -> free(message, false);
+                    case SET_UP -> handleSetUp(message);
+                    case RELEASE -> chargeMessage(message, host.onClientRelease(message.session()));
+                    case RELEASE_ACKNOWLEDGED -> chargeMessage(message, host.onReleaseAcknowledged(message.session()));
+                    case TEST -> chargeMessage(message, answerTest(message));
+                    default -> chargeMessage(message, false);
                 };
         if (useful) {
-            usefulAt = Clock.monotonicMs();
+            lastUsefulAt = Clock.monotonicMs();
         }
         return state.readable();
     }
 
-    /** Charges a message that asks for nothing; returns whether it was useful. */
-    private boolean free(Message message, boolean useful) {
-        if (abuse.chargeMessage(Clock.monotonicMs(), message.size())) {
-            drain(CloseReason.ABUSE);
+    /** Charges a message other than a set-up to the abuse limiter; returns {@code useful} unchanged. */
+    private boolean chargeMessage(Message message, boolean useful) {
+        if (abuseLimiter.chargeMessage(Clock.monotonicMs(), message.size())) {
+            startDrain(CloseReason.ABUSE);
         }
         return useful;
     }
 
-    private boolean test(Message message) {
-        proven = true;
+    private boolean answerTest(Message message) {
+        receivedUseful = true;
         return send(new Message(MessageType.TEST_RESULT, message.session()).withCause(1));
     }
 
-    /** True when it could be used. */
-    private boolean setUp(Message message) {
+    /** Handles a set-up; returns true when it was useful. */
+    private boolean handleSetUp(Message message) {
         SetUp setUp;
         try {
             setUp = SetUp.of(message);
-        } catch (InvalidFieldException fault) {
-            return reject(message.session(), fault.releaseCause(), fault.getMessage());
+        } catch (InvalidFieldException e) {
+            return rejectSetUp(message.session(), e.releaseCause(), e.getMessage());
         }
-        boolean stands = setUp.attributes().currentServer() != null;
+        boolean established = setUp.attributes().currentServer() != null;
         if (host.hasSession(setUp.session())) {
-            return stands || repeated(setUp.session());
+            return established || handleReusedId(setUp.session());
         }
-        if (!stands && recentAnswers.crossesAnswer(Clock.monotonicMs(), setUp.session())) {
-            return ignore(setUp.session(), "it crossed its answer");
+        if (!established && recentAnswers.crossesAnswer(Clock.monotonicMs(), setUp.session())) {
+            return ignoreSetUp(setUp.session(), "crossed the answer to an earlier request with this id");
         }
         if (!host.isAllowed(setUp)) {
-            return reject(setUp.session(), Cause.INVALID_CONTENTS, "not of these settings");
+            return rejectSetUp(
+                    setUp.session(), Cause.INVALID_CONTENTS, "class, cell, copies or rung is not in the settings");
         }
         if (state.requestHandling() != ClientConnectionState.RequestHandling.SERVE) {
-            return stands || turnAway(setUp.session());
+            return established || refuseWhileDraining(setUp.session());
         }
-        proven = true;
-        if (stands) {
+        receivedUseful = true;
+        if (established) {
             served = true;
             host.takeOver(setUp, this);
-            listener.good(this);
+            listener.onServed(this);
             return true;
         }
-        return request(setUp);
+        return startRequest(setUp);
     }
 
-    private boolean request(SetUp setUp) {
+    private boolean startRequest(SetUp setUp) {
         if (host.takeEarlyRelease(setUp.session())) {
-            return reject(setUp.session(), Cause.TEMPORARY_FAILURE, "its viewer has withdrawn it");
+            return rejectSetUp(
+                    setUp.session(),
+                    Cause.TEMPORARY_FAILURE,
+                    "the viewer released the session before its set-up was read");
         }
-        double left = setUp.waitMs() - listener.unreadMs();
-        if (left < 1) {
-            // Its viewer has left: work on it would be for nobody.
-            return reject(setUp.session(), Cause.TEMPORARY_FAILURE, "its time is up");
+        double remainingMs = setUp.waitMs() - listener.receiveDelayMs();
+        if (remainingMs < 1) {
+            // The viewer has given the request up by now.
+            return rejectSetUp(setUp.session(), Cause.TEMPORARY_FAILURE, "the viewer's wait time has expired");
         }
         openRequests.add(setUp.session());
-        host.setUp(setUp, this, left);
+        host.setUp(setUp, this, remainingMs);
         return true;
     }
 
-    /** Refuses a request that arrives while the connection drains: it never ran, trying again is harmless. */
-    private boolean turnAway(long session) {
-        listener.rejected(this, session, "the connection is " + state.phase() + " for " + state.reason());
+    /** Refuses a request that arrives while the connection drains. The request never ran, so a retry is safe. */
+    private boolean refuseWhileDraining(long session) {
+        listener.traceRejected(this, session, "connection is " + state.phase() + " because of " + state.reason());
         if (state.requestHandling() == ClientConnectionState.RequestHandling.DISCARD) {
             discardedRequests++;
             return false;
         }
-        return release(session, Cause.CONGESTION, 0);
+        return writeRelease(session, Cause.CONGESTION, 0);
     }
 
-    /** Fails a set-up that can't be used. */
-    private boolean reject(long session, int cause, String why) {
-        listener.rejected(this, session, why);
-        release(session, cause, 0);
-        if (abuse.chargeRejectedSetUp(Clock.monotonicMs())) {
-            drain(CloseReason.ABUSE);
+    /** Releases an invalid set-up with the given cause. */
+    private boolean rejectSetUp(long session, int cause, String reason) {
+        listener.traceRejected(this, session, reason);
+        writeRelease(session, cause, 0);
+        if (abuseLimiter.chargeRejectedSetUp(Clock.monotonicMs())) {
+            startDrain(CloseReason.ABUSE);
         }
         return false;
     }
 
     /**
-     * A set-up under an id that is in use. Any message with this id would be taken for the answer or the end
-     * of the first, so a repetition on the connection of the first gets none of its own.
+     * Handles a set-up whose session id is in use. On the connection of the existing session the set-up is ignored,
+     * since the client would take any reply with this id for the answer or the end of that session. On any other
+     * connection it is rejected.
      */
-    private boolean repeated(long session) {
+    private boolean handleReusedId(long session) {
         if (!host.hasSessionOn(session, this)) {
-            return reject(session, Cause.INVALID_REFERENCE, "the session is known");
+            return rejectSetUp(session, Cause.INVALID_REFERENCE, "session id is in use on another connection");
         }
-        return ignore(session, "a repetition");
+        return ignoreSetUp(session, "repeats a set-up of this connection");
     }
 
-    private boolean ignore(long session, String why) {
-        listener.rejected(this, session, why);
-        if (abuse.chargeRejectedSetUp(Clock.monotonicMs())) {
-            drain(CloseReason.ABUSE);
+    private boolean ignoreSetUp(long session, String reason) {
+        listener.traceRejected(this, session, reason);
+        if (abuseLimiter.chargeRejectedSetUp(Clock.monotonicMs())) {
+            startDrain(CloseReason.ABUSE);
         }
         return false;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        ended(CloseReason.PEER_CLOSED);
+        onEnded(CloseReason.PEER_CLOSED);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ended(CloseReason.CONNECTION_FAILED);
+        onEnded(CloseReason.CONNECTION_FAILED);
         ctx.close();
     }
 
-    // ---- output
+    // ---- Output
 
     @Override
     public boolean isWritable() {
@@ -256,36 +262,36 @@
     @Override
     public void sendAnswer(long session, byte[] description) {
         openRequests.remove(session);
-        proven = true;
+        receivedUseful = true;
         served = true;
         send(new Message(MessageType.ANSWER, session).with(Parameter.DESCRIPTION, description));
-        listener.good(this);
-        advance();
+        listener.onServed(this);
+        runNextStep();
     }
 
     @Override
     public void requestWithdrawn(long session) {
         openRequests.remove(session);
-        advance();
+        runNextStep();
     }
 
     @Override
-    public void sendRelease(long session, ReleaseReason end, double stayAwayMs) {
+    public void sendRelease(long session, ReleaseReason reason, double retryAfterMs) {
         openRequests.remove(session);
-        release(
+        writeRelease(
                 session,
-                switch (end) {
+                switch (reason) {
                     case REFUSED -> Cause.CONGESTION;
                     case FAILED, CUT -> Cause.TEMPORARY_FAILURE;
                     case OVER -> Cause.NORMAL_CLEARING;
                 },
-                end == ReleaseReason.REFUSED ? stayAwayMs : 0);
-        advance();
+                reason == ReleaseReason.REFUSED ? retryAfterMs : 0);
+        runNextStep();
     }
 
     @Override
-    public void establishedSessionsChanged(boolean more) {
-        standing += more ? 1 : -1;
+    public void establishedSessionsChanged(boolean added) {
+        establishedSessions += added ? 1 : -1;
     }
 
     @Override
@@ -293,12 +299,12 @@
         send(new Message(MessageType.MOVE, session));
     }
 
-    private boolean release(long session, int cause, double stayAwayMs) {
-        listener.sent(this, session, cause);
+    private boolean writeRelease(long session, int cause, double retryAfterMs) {
+        listener.traceRelease(this, session, cause);
         recentAnswers.recordAnswer(Clock.monotonicMs(), session);
         Message message = new Message(MessageType.RELEASE, session).withCause(cause);
-        if (retryAfter && stayAwayMs >= 1) {
-            message.with(Parameter.RETRY_AFTER, Long.toString(Math.round(stayAwayMs)));
+        if (retryAfterAllowed && retryAfterMs >= 1) {
+            message.with(Parameter.RETRY_AFTER, Long.toString(Math.round(retryAfterMs)));
         }
         return send(message);
     }
@@ -307,20 +313,20 @@
         if (!state.writable() || !channel.isActive()) {
             return false;
         }
-        if (unflushedBytes() > MOST_UNFLUSHED_BYTES) {
+        if (unflushedBytes() > MAX_UNFLUSHED_BYTES) {
             close(CloseReason.OUTPUT_STALLED);
             return false;
         }
-        written = true;
+        anyWritten = true;
         ByteBuf out = channel.alloc().heapBuffer(message.size());
         message.write(out);
-        channel.writeAndFlush(out).addListener(flushed);
+        channel.writeAndFlush(out).addListener(flushListener);
         return true;
     }
 
-    private void flushed() {
-        flushedAt = Clock.monotonicMs();
-        advance();
+    private void onFlushed() {
+        lastFlushAt = Clock.monotonicMs();
+        runNextStep();
     }
 
     private long unflushedBytes() {
@@ -328,81 +334,88 @@
         return out == null ? 0 : out.totalPendingWriteBytes();
     }
 
-    /** True while something lies in buffers of this process. */
+    /** True while sent bytes wait in buffers of this process. */
     boolean hasUnflushed() {
         ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
         return out != null && !out.isEmpty();
     }
 
-    // ---- its end
+    // ---- Closing
 
-    /** What counts where a descriptor is needed for a new connection. */
-    ConnectionEviction.Candidate held(double now) {
+    /** Returns the view of this connection by which a connection is chosen for eviction. */
+    ConnectionEviction.Candidate evictionCandidate(double now) {
         return new ConnectionEviction.Candidate(
                 openRequests.size(),
-                standing,
+                establishedSessions,
                 served
                         ? ConnectionEviction.Activity.SERVED
-                        : proven ? ConnectionEviction.Activity.NOT_SERVED : ConnectionEviction.Activity.NOTHING_USEFUL,
-                now - usefulAt);
+                        : receivedUseful
+                                ? ConnectionEviction.Activity.NOT_SERVED
+                                : ConnectionEviction.Activity.NOTHING_USEFUL,
+                now - lastUsefulAt);
     }
 
-    boolean served() {
+    boolean hasServed() {
         return served;
     }
 
-    double usefulAt() {
-        return usefulAt;
+    double lastUsefulAt() {
+        return lastUsefulAt;
     }
 
     Phase phase() {
         return state.phase();
     }
 
-    /** Ends it where its time-outs say so, and goes on with an end that has begun. */
+    /** Starts to drain the connection when one of its timeouts has expired, and continues a drain that has started. */
     void onTick(double now) {
         if (state.phase() == Phase.OPEN) {
             ConnectionTimeouts.expiryReason(new ConnectionTimeouts.View(
-                            now - acceptedAt, now - usefulAt, openRequests.size(), standing, proven, messageMs(now)))
-                    .ifPresent(this::drain);
+                            now - acceptedAt,
+                            now - lastUsefulAt,
+                            openRequests.size(),
+                            establishedSessions,
+                            receivedUseful,
+                            partialMessageMs(now)))
+                    .ifPresent(this::startDrain);
         }
-        if (state.writable() && !channel.isWritable() && now - flushedAt >= STALLED_MS) {
+        if (state.writable() && !channel.isWritable() && now - lastFlushAt >= WRITE_STALL_TIMEOUT_MS) {
             close(CloseReason.OUTPUT_STALLED);
         }
-        advance();
+        runNextStep();
     }
 
-    private double messageMs(double now) {
-        return Double.isNaN(messageBeganAt) ? 0 : Math.max(Double.MIN_VALUE, now - messageBeganAt);
+    private double partialMessageMs(double now) {
+        return Double.isNaN(partialMessageSince) ? 0 : Math.max(Double.MIN_VALUE, now - partialMessageSince);
     }
 
-    /** Begins to end it, with the time for open requests that the reason states. */
-    void drain(CloseReason reason) {
+    /** Starts to drain the connection. The reason determines how long open requests may wait for their answers. */
+    void startDrain(CloseReason reason) {
         state.startDrain(Clock.monotonicMs(), reason);
         if (reason == CloseReason.EVICTED) {
-            // Its descriptor is needed now, not when its client has closed.
-            listener.closing(this);
+            // The file descriptor is needed at once, so the connection leaves the budget before the client closes it.
+            listener.onClosing(this);
         }
-        advance();
+        runNextStep();
     }
 
-    /** Begins to end it because the node shuts down; the last answers are given after {@code drainMs}. */
+    /** Starts to drain the connection because the node shuts down; open requests are failed after {@code drainMs}. */
     void shutDown(double drainMs) {
         state.startDrain(Clock.monotonicMs(), CloseReason.SHUTDOWN, drainMs);
-        advance();
+        runNextStep();
     }
 
-    /** Does what the state asks for. */
-    private void advance() {
-        if (reading || state.phase() == Phase.OPEN) {
+    /** Carries out the next step of closing the connection, unless the connection is open or a read is in progress. */
+    private void runNextStep() {
+        if (readInProgress || state.phase() == Phase.OPEN) {
             return;
         }
         double now = Clock.monotonicMs();
         switch (state.nextStep(now, view(now))) {
             case FAIL_OPEN_REQUESTS -> host.failOpenRequests(List.copyOf(openRequests));
-            case READ_INPUT -> readFirst();
+            case READ_INPUT -> readPendingInput();
             case SHUT_DOWN_OUTPUT -> {
-                listener.closing(this);
+                listener.onClosing(this);
                 channel.shutdownOutput();
             }
             case CLOSE -> close(state.reason());
@@ -410,54 +423,54 @@
         }
     }
 
-    private void readFirst() {
-        if (readingFirst) {
+    private void readPendingInput() {
+        if (readScheduled) {
             return;
         }
-        readingFirst = true;
-        listener.afterReading(() -> {
-            readingFirst = false;
+        readScheduled = true;
+        listener.runAfterReading(() -> {
+            readScheduled = false;
             inputRead = true;
-            advance();
+            runNextStep();
             inputRead = false;
         });
     }
 
     private ClientConnectionState.View view(double now) {
-        boolean begun = messageMs(now) > 0 && messageMs(now) < REQUEST_UNDER_WAY_MS;
-        boolean fresh = messages == 0 && now - acceptedAt < REQUEST_UNDER_WAY_MS;
+        boolean partial = partialMessageMs(now) > 0 && partialMessageMs(now) < MAX_REQUEST_TRANSIT_MS;
+        boolean firstRequestExpected = messagesReceived == 0 && now - acceptedAt < MAX_REQUEST_TRANSIT_MS;
         return new ClientConnectionState.View(
                 openRequests.size(),
                 served && host.hasPendingReleases(),
                 hasUnflushed(),
-                begun || fresh,
-                written,
+                partial || firstRequestExpected,
+                anyWritten,
                 inputRead);
     }
 
-    /** Closes the socket of a connection whose output was shut down before. */
+    /** Closes the socket of a connection that is already closing, without waiting for the client. */
     void closeNow() {
         close(state.reason());
     }
 
-    /** Closes the socket; requests still open on it are given up. */
+    /** Closes the socket and withdraws the requests that are still open on the connection. */
     private void close(CloseReason reason) {
-        ended(reason);
+        onEnded(reason);
         channel.close();
     }
 
-    private void ended(CloseReason reason) {
+    private void onEnded(CloseReason reason) {
         if (state.phase() == Phase.CLOSED) {
             return;
         }
         state.onClosed(reason);
-        listener.closed(new ClosedConnection(
+        listener.onClosed(new ClosedConnection(
                 toString(),
                 state.reason(),
                 reason,
                 openRequests.size(),
                 discardedRequests,
-                messages,
+                messagesReceived,
                 Clock.monotonicMs() - acceptedAt));
         decoder.release();
         host.onClientConnectionEnded(new ArrayList<>(openRequests));
--- a/node/src/main/java/spanrill/node/client/ClientListener.java
+++ b/node/src/main/java/spanrill/node/client/ClientListener.java
@@ -25,122 +25,134 @@
 import spanrill.wire.TcpListener;
 import spanrill.wire.platform.Message;
 
-/** Listens for viewers and for the platform's tests. */
+/** Accepts connections from viewers and from the platform's tests, within a budget of file descriptors. */
 public final class ClientListener {
-    private static final int BACKLOG = 1024;
-    private static final long TICK_MS = 100;
-    private static final long ROUND_MS = 20;
-    /** Descriptors of connections that are closing; taken from the reserve of the descriptor shares. */
-    private static final int MOST_CLOSING = 12;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final long TICK_INTERVAL_MS = 100;
+    private static final long LOOP_CHECK_INTERVAL_MS = 20;
+    /** Closing connections do not count against the budget; their descriptors come from a reserve of the process. */
+    private static final int MAX_CLOSING = 12;
 
-    private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(64 * 1024, 128 * 1024);
+    private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(64 * 1024, 128 * 1024);
 
     private final EventLoop loop;
     private final NextIterationExecutor nextIteration;
     private final ConnectionBudget budget;
-    private final ReceiveDelayEstimator unread = new ReceiveDelayEstimator(ROUND_MS);
+    private final ReceiveDelayEstimator receiveDelay = new ReceiveDelayEstimator(LOOP_CHECK_INTERVAL_MS);
     private final EventSink log;
     private final EventSink trace;
-    private final boolean retryAfter;
+    private final boolean retryAfterAllowed;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    /** Connections whose output is shut down, the oldest first; they no longer count against the budget. */
+    /** Connections that were evicted or whose output is shut down, the oldest first. */
     private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
     private SessionHost host;
-    private ClientConnection lastGiven;
+    private ClientConnection lastReleaseLink;
     private long accepted;
-    /** When a shutdown gives the last answers, on the clock of {@link Clock#monotonicMs}; NaN: none is on. */
-    private double answerBy = Double.NaN;
+    /** When a shutdown fails the requests still open, on {@link Clock#monotonicMs}; NaN when the node runs. */
+    private double answerDeadline = Double.NaN;
 
-    /** Connections within the budget; {@code retryAfter}: viewers may be told when to come again. */
-    public ClientListener(EventLoop loop, ConnectionBudget budget, boolean retryAfter, EventSink log, EventSink trace) {
+    /**
+     * Creates a listener that does not accept connections yet.
+     *
+     * @param budget limits the number of open connections
+     * @param retryAfterAllowed true when a refusal may tell the viewer when to retry
+     */
+    public ClientListener(
+            EventLoop loop, ConnectionBudget budget, boolean retryAfterAllowed, EventSink log, EventSink trace) {
         this.loop = loop;
         nextIteration = new NextIterationExecutor(loop);
         this.budget = budget;
-        this.retryAfter = retryAfter;
+        this.retryAfterAllowed = retryAfterAllowed;
         this.log = log;
         this.trace = trace;
     }
 
-    /** Listens; the future tells when, or why not. */
-    public ChannelFuture bind(EventLoopGroup group, InetSocketAddress address, SessionHost told) {
-        host = told;
-        // After a round that reads: one that lay unread while the loop was busy must not be taken for idle.
-        loop.scheduleAtFixedRate(() -> nextIteration.execute(this::onTick), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+    /** Starts to accept connections; the future completes when the address is bound, or fails. */
+    public ChannelFuture bind(EventLoopGroup group, InetSocketAddress address, SessionHost sessionHost) {
+        host = sessionHost;
+        // Runs after an iteration that reads, so that a connection with unread input does not count as idle.
+        loop.scheduleAtFixedRate(
+                () -> nextIteration.execute(this::onTick), TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
-                () -> unread.onLoopIteration(Clock.monotonicMs()), 0, ROUND_MS, TimeUnit.MILLISECONDS);
-        return TcpListener.bind(group, address, BACKLOG, MARKS, this::accept);
+                () -> receiveDelay.onLoopIteration(Clock.monotonicMs()),
+                0,
+                LOOP_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
+        return TcpListener.bind(group, address, ACCEPT_BACKLOG, WRITE_BUFFER_LIMITS, this::accept);
     }
 
     private void accept(SocketChannel channel) {
         accepted++;
-        if (!budget.tryOpen() && !(makeRoom() && budget.tryOpen())) {
+        if (!budget.tryOpen() && !(evictConnection() && budget.tryOpen())) {
             channel.close();
             if (budget.becameFull()) {
                 log.info("limit.viewers", "open", budget.open());
             }
             return;
         }
-        ClientConnection connection = new ClientConnection(this, host, retryAfter);
+        ClientConnection connection = new ClientConnection(this, host, retryAfterAllowed);
         connections.add(connection);
-        channel.closeFuture().addListener(f -> forget(connection));
+        channel.closeFuture().addListener(f -> onChannelClosed(connection));
         channel.pipeline().addLast(connection);
-        if (!Double.isNaN(answerBy)) {
-            connection.shutDown(answerBy - Clock.monotonicMs());
+        if (!Double.isNaN(answerDeadline)) {
+            connection.shutDown(answerDeadline - Clock.monotonicMs());
         }
     }
 
-    private void forget(ClientConnection connection) {
+    private void onChannelClosed(ClientConnection connection) {
         connections.remove(connection);
         if (!closing.remove(connection)) {
             budget.onClosed();
         }
-        if (lastGiven == connection) {
-            lastGiven = null;
+        if (lastReleaseLink == connection) {
+            lastReleaseLink = null;
         }
     }
 
-    /** Runs an action when the loop has read what had arrived before. */
-    void afterReading(Runnable action) {
+    /** Runs an action once the loop has read the input that has arrived so far. */
+    void runAfterReading(Runnable action) {
         nextIteration.execute(action);
     }
 
-    /** A connection ends: its output is shut down, or it was evicted. It no longer counts against the budget. */
-    void closing(ClientConnection connection) {
+    /** Removes a connection from the budget: its output is being shut down, or it is evicted. */
+    void onClosing(ClientConnection connection) {
         if (closing.add(connection)) {
             budget.onClosed();
         }
-        if (closing.size() > MOST_CLOSING && Double.isNaN(answerBy)) {
+        if (closing.size() > MAX_CLOSING && Double.isNaN(answerDeadline)) {
             closing.iterator().next().closeNow();
         }
     }
 
     /**
-     * Drains every connection, and each one that is still accepted.
+     * Drains every connection, and each connection that is accepted from now on.
      *
-     * @param drainMs the last answers are given after so long
+     * @param drainMs time after which requests still open are failed, ms
      */
     public void shutDown(double drainMs) {
-        answerBy = Clock.monotonicMs() + drainMs;
+        answerDeadline = Clock.monotonicMs() + drainMs;
         List.copyOf(connections).forEach(connection -> connection.shutDown(drainMs));
     }
 
-    /** Connections that have not ended. */
+    /** Returns the number of connections that are not closed. */
     public int size() {
         return connections.size();
     }
 
-    /** Lets a connection go on which nobody waits, for a new one. */
-    private boolean makeRoom() {
-        List<ClientConnection> all =
+    /**
+     * Evicts a connection without open requests or established sessions; returns true when the budget then has room.
+     */
+    private boolean evictConnection() {
+        List<ClientConnection> candidates =
                 connections.stream().filter(c -> c.phase() == Phase.OPEN).toList();
         double now = Clock.monotonicMs();
         int chosen = ConnectionEviction.chooseVictim(
-                all.stream().map(c -> c.held(now)).toList());
+                candidates.stream().map(c -> c.evictionCandidate(now)).toList());
         if (chosen == ConnectionEviction.NONE) {
             return false;
         }
-        all.get(chosen).drain(CloseReason.EVICTED);
+        candidates.get(chosen).startDrain(CloseReason.EVICTED);
         return budget.open() < budget.limit();
     }
 
@@ -151,30 +163,30 @@
         }
     }
 
-    /** Time that what is read now may have lain unread, ms. */
-    double unreadMs() {
-        return unread.estimateMs(Clock.monotonicMs());
+    /** Returns an estimate of how long the message being read has waited in the socket, ms. */
+    double receiveDelayMs() {
+        return receiveDelay.estimateMs(Clock.monotonicMs());
     }
 
-    /** Connections that came so far, those included that found no room. */
+    /** Returns the number of connections accepted so far, including those closed at once for lack of budget. */
     public long accepted() {
         return accepted;
     }
 
-    /** True while something that was said to a viewer lies in buffers of this process. */
+    /** True while bytes sent to a client wait in buffers of this process. */
     public boolean hasUnflushed() {
         return connections.stream().anyMatch(ClientConnection::hasUnflushed);
     }
 
-    void came(ClientConnection on, Message message) {
+    void traceReceived(ClientConnection connection, Message message) {
         if (trace.isEnabled()) {
-            trace.info("came", "on", on, "type", message.type(), "id", hex(message.session()));
+            trace.info("received", "conn", connection, "type", message.type(), "id", hex(message.session()));
         }
     }
 
-    void sent(ClientConnection on, long session, int cause) {
+    void traceRelease(ClientConnection connection, long session, int cause) {
         if (trace.isEnabled()) {
-            trace.info("released", "on", on, "id", hex(session), "cause", cause);
+            trace.info("released", "conn", connection, "id", hex(session), "cause", cause);
         }
     }
 
@@ -182,7 +194,7 @@
         return HexFormat.of().toHexDigits(session);
     }
 
-    void closed(ClosedConnection closed) {
+    void onClosed(ClosedConnection closed) {
         EventSink sink = closed.notable() ? log : trace;
         if (sink.isEnabled()) {
             sink.info(
@@ -192,7 +204,7 @@
                     "reason",
                     closed.reason(),
                     "last",
-                    closed.last(),
+                    closed.closedBy(),
                     "open",
                     closed.openRequests(),
                     "discarded",
@@ -204,26 +216,26 @@
         }
     }
 
-    void rejected(ClientConnection on, long session, String why) {
+    void traceRejected(ClientConnection connection, long session, String reason) {
         if (trace.isEnabled()) {
-            trace.info("request.reject", "conn", on, "id", hex(session), "reason", why);
+            trace.info("request.reject", "conn", connection, "id", hex(session), "reason", reason);
         }
     }
 
-    /** A connection on which a usual viewer was served: it can take what is owed. */
-    void good(ClientConnection connection) {
+    /** Called when a viewer is served on a connection: pending releases may be sent on it. */
+    void onServed(ClientConnection connection) {
         host.onClientConnectionReady(connection);
     }
 
-    /** A connection that can take a release whose own is gone, or null. */
-    public ClientLink any() {
+    /** Returns a connection for a release whose own connection has closed, or null when there is none. */
+    public ClientLink linkForRelease() {
         List<ClientConnection> all = new ArrayList<>(connections);
         int chosen = ConnectionEviction.chooseRoute(
                 all.stream()
-                        .map(c -> new ConnectionEviction.Route(c.served() && c.isWritable(), c.usefulAt()))
+                        .map(c -> new ConnectionEviction.Route(c.hasServed() && c.isWritable(), c.lastUsefulAt()))
                         .toList(),
-                all.indexOf(lastGiven));
-        lastGiven = chosen == ConnectionEviction.NONE ? null : all.get(chosen);
-        return lastGiven;
+                all.indexOf(lastReleaseLink));
+        lastReleaseLink = chosen == ConnectionEviction.NONE ? null : all.get(chosen);
+        return lastReleaseLink;
     }
 }
--- a/node/src/main/java/spanrill/node/client/ClosedConnection.java
+++ b/node/src/main/java/spanrill/node/client/ClosedConnection.java
@@ -3,25 +3,28 @@
 import spanrill.decisions.CloseReason;
 
 /**
- * What is logged of a client connection that has ended.
+ * The log entry of a client connection that has closed.
  *
- * @param id of the connection
- * @param reason why it ended
- * @param last what ended it at last: differs from the reason where the client closed first
- * @param openRequests requests that were given up with it
- * @param discardedRequests requests that crossed its end: read when nothing could be written any more
- * @param messages messages that came on it
- * @param ageMs time since it was accepted, ms
+ * @param id the id of the connection
+ * @param reason why the connection began to end
+ * @param closedBy what finally closed the connection; differs from the reason when, for example, the client closed it
+ *     during a drain
+ * @param openRequests number of requests that were withdrawn because the connection closed
+ * @param discardedRequests number of requests read after the output was shut down, when no reply could be sent
+ * @param messages number of messages received
+ * @param ageMs time since the connection was accepted, ms
  */
 record ClosedConnection(
         String id,
         CloseReason reason,
-        CloseReason last,
+        CloseReason closedBy,
         int openRequests,
         int discardedRequests,
         long messages,
         double ageMs) {
-    /** True when it says more than that a client was done: requests were affected, or this node ended it. */
+    /**
+     * True when requests were affected or this node ended the connection; such entries go to the log, not the trace.
+     */
     boolean notable() {
         return openRequests > 0 || discardedRequests > 0 || reason != CloseReason.PEER_CLOSED;
     }
--- a/node/src/main/java/spanrill/node/client/package-info.java
+++ b/node/src/main/java/spanrill/node/client/package-info.java
@@ -1,2 +1,2 @@
-/** The viewers' side: listener, connections, their limits, answers. On the event loop only. */
+/** Connections of viewers: listener, message validation, limits and graceful close. Used on the event loop only. */
 package spanrill.node.client;
--- a/node/src/main/java/spanrill/node/config/JsonPairs.java
+++ b/node/src/main/java/spanrill/node/config/JsonPairs.java
@@ -10,13 +10,16 @@
 import spanrill.setup.FlattenedObject;
 import spanrill.setup.InvalidFieldException;
 
-/** JSON as values by path, in the form of {@link FlattenedObject}. Depth, names, texts and values are bounded. */
+/**
+ * Parses a JSON object into a {@link FlattenedObject}, which holds values by path. The nesting depth, the lengths and
+ * the number of values are bounded.
+ */
 public final class JsonPairs {
-    private static final int MOST_DEPTH = 16;
-    private static final int MOST_VALUES = 200_000;
+    private static final int MAX_DEPTH = 16;
+    private static final int MAX_VALUES = 200_000;
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
-                    .maxNestingDepth(MOST_DEPTH)
+                    .maxNestingDepth(MAX_DEPTH)
                     .maxStringLength(64 * 1024)
                     .maxNumberLength(64)
                     .maxNameLength(256)
@@ -28,79 +31,81 @@
     private JsonPairs() {}
 
     /**
-     * Reads one object.
+     * Parses one JSON object.
      *
-     * @throws InvalidFieldException when it is no JSON object, naming the path at which reading stopped
+     * @throws InvalidFieldException with the path at which parsing stopped, when the input is not one JSON object
+     *     within the limits
      */
     public static FlattenedObject read(byte[] json) {
-        JsonPairs reader = new JsonPairs();
-        String at = "";
+        JsonPairs parsed = new JsonPairs();
+        String pointer = "";
         try (JsonParser parser = FACTORY.createParser(json)) {
             try {
                 if (parser.nextToken() != JsonToken.START_OBJECT) {
-                    throw new InvalidFieldException("(whole)", "is no JSON object");
+                    throw new InvalidFieldException("(whole)", "is not a JSON object");
                 }
-                reader.object(parser, "");
+                parsed.flattenObject(parser, "");
                 if (parser.nextToken() != null) {
-                    throw new InvalidFieldException("(whole)", "goes on after its object");
+                    throw new InvalidFieldException("(whole)", "has content after the top-level object");
                 }
             } catch (IOException e) {
-                at = parser.getParsingContext().pathAsPointer().toString();
-                throw new InvalidFieldException(at.isEmpty() ? "(whole)" : at, "is no JSON: " + firstLine(e));
+                pointer = parser.getParsingContext().pathAsPointer().toString();
+                throw new InvalidFieldException(
+                        pointer.isEmpty() ? "(whole)" : pointer, "is not valid JSON: " + firstLine(e));
             }
         } catch (IOException e) {
-            throw new InvalidFieldException("(whole)", "can't be read: " + firstLine(e));
+            throw new InvalidFieldException("(whole)", "cannot be read: " + firstLine(e));
         }
-        return new FlattenedObject(reader.values);
+        return new FlattenedObject(parsed.values);
     }
 
     private static String firstLine(IOException e) {
         return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     }
 
-    private void object(JsonParser parser, String prefix) throws IOException {
+    private void flattenObject(JsonParser parser, String prefix) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String path = prefix + parser.currentName();
             parser.nextToken();
-            value(parser, path);
+            flattenValue(parser, path);
         }
     }
 
-    private void value(JsonParser parser, String path) throws IOException {
+    private void flattenValue(JsonParser parser, String path) throws IOException {
         switch (parser.currentToken()) {
-            case START_OBJECT -> object(parser, path + ".");
-            case START_ARRAY -> list(parser, path);
+            case START_OBJECT -> flattenObject(parser, path + ".");
+            case START_ARRAY -> flattenList(parser, path);
             case VALUE_NULL -> {}
             default -> put(path, parser.getText());
         }
     }
 
-    private void list(JsonParser parser, String path) throws IOException {
-        StringBuilder plain = new StringBuilder();
-        int objects = 0;
-        int scalars = 0;
+    private void flattenList(JsonParser parser, String path) throws IOException {
+        StringBuilder joinedScalars = new StringBuilder();
+        int objectCount = 0;
+        int scalarCount = 0;
         for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
             if (token == JsonToken.START_OBJECT) {
-                object(parser, path + "." + objects++ + ".");
+                flattenObject(parser, path + "." + objectCount++ + ".");
             } else if (token == JsonToken.START_ARRAY) {
-                throw new InvalidFieldException(path, "is a list of lists");
+                throw new InvalidFieldException(path, "is a list that contains a list");
             } else {
-                plain.append(scalars++ == 0 ? "" : ",").append(parser.getText());
+                joinedScalars.append(scalarCount++ == 0 ? "" : ",").append(parser.getText());
             }
         }
-        if (objects > 0 && scalars > 0) {
-            throw new InvalidFieldException(path, "mixes plain values and objects");
+        if (objectCount > 0 && scalarCount > 0) {
+            throw new InvalidFieldException(path, "is a list that mixes plain values and objects");
         }
-        if (scalars > 0) {
-            put(path, plain.toString());
+        if (scalarCount > 0) {
+            put(path, joinedScalars.toString());
         } else {
-            put(path + ".count", Integer.toString(objects));
+            put(path + ".count", Integer.toString(objectCount));
         }
     }
 
     private void put(String path, String value) {
-        if (values.size() >= MOST_VALUES) {
-            throw new InvalidFieldException(path, "is one value too many");
+        if (values.size() >= MAX_VALUES) {
+            throw new InvalidFieldException(path, "exceeds the limit of " + MAX_VALUES + " values");
         }
         values.put(path, value);
     }
--- a/node/src/main/java/spanrill/node/config/NodeConfig.java
+++ b/node/src/main/java/spanrill/node/config/NodeConfig.java
@@ -12,22 +12,22 @@
 import spanrill.setup.SettingsReader;
 
 /**
- * What a front node is told at its start.
+ * Configuration of a front node.
  *
- * @param name its name
- * @param listen where viewers connect
- * @param seed for random numbers
- * @param sockets file descriptors that the process may hold
- * @param discovery where discovery is asked
- * @param knownNo number of the last event that is known
- * @param known the events so far
- * @param settings the module's settings
- * @param connectMs a connection to a server has failed when it is not up by then, ms
- * @param idleMs servers close idle connections after so long, ms
- * @param deadlineMs the longest deadline of a class, ms
- * @param maxStreams set-ups that may be open on one connection to a server
- * @param mayTest true when servers may be tested
- * @param retryAfter true when viewers may be told when to come again
+ * @param name the name of the node
+ * @param listen address on which viewers connect
+ * @param seed seed of random numbers
+ * @param sockets number of file descriptors that the process may hold
+ * @param discovery address of discovery
+ * @param lastKnownUpdate number of the last server list update that the configuration includes
+ * @param knownUpdates the server list updates up to the time the configuration was written
+ * @param settings settings of the placement module
+ * @param connectTimeoutMs timeout for connecting to a server, ms
+ * @param serverIdleTimeoutMs time after which servers close idle connections, ms
+ * @param maxStreams maximum number of open set-ups on one connection to a server
+ * @param probingAllowed true when the node may send tests to servers
+ * @param maxDeadlineMs the longest deadline of all service classes, ms
+ * @param retryAfterAllowed true when a refusal may tell the viewer when to retry
  */
 public record NodeConfig(
         String name,
@@ -35,65 +35,69 @@
         long seed,
         int sockets,
         InetSocketAddress discovery,
-        long knownNo,
-        List<ServerListUpdate> known,
+        long lastKnownUpdate,
+        List<ServerListUpdate> knownUpdates,
         Settings settings,
-        double connectMs,
-        double idleMs,
+        double connectTimeoutMs,
+        double serverIdleTimeoutMs,
         int maxStreams,
-        boolean mayTest,
-        double deadlineMs,
-        boolean retryAfter) {
-    private static final long MOST_BYTES = 16L << 20;
+        boolean probingAllowed,
+        double maxDeadlineMs,
+        boolean retryAfterAllowed) {
+    private static final long MAX_BYTES = 16L << 20;
+    private static final int MIN_SOCKETS = 64;
 
     /**
      * Reads a configuration file.
      *
-     * @throws IOException when it can't be read
-     * @throws InvalidFieldException naming the first field that is missing or wrong
+     * @throws IOException when the file cannot be read
+     * @throws InvalidFieldException with the path of the first field that is missing or invalid
      */
     public static NodeConfig read(Path file) throws IOException {
-        if (Files.size(file) > MOST_BYTES) {
-            throw new InvalidFieldException("(whole)", "has more than " + MOST_BYTES + " bytes");
+        if (Files.size(file) > MAX_BYTES) {
+            throw new InvalidFieldException("(whole)", "has more than " + MAX_BYTES + " bytes");
         }
         return of(JsonPairs.read(Files.readAllBytes(file)));
     }
 
-    static NodeConfig of(FlattenedObject pairs) {
-        List<ServerListUpdate> known = new ArrayList<>();
-        for (int i = 0; i < pairs.itemCount("known.items"); i++) {
-            known.add(ServerListUpdate.of(pairs.section("known.items." + i + ".")));
+    static NodeConfig of(FlattenedObject json) {
+        List<ServerListUpdate> knownUpdates = new ArrayList<>();
+        for (int i = 0; i < json.itemCount("known.items"); i++) {
+            knownUpdates.add(ServerListUpdate.of(json.section("known.items." + i + ".")));
         }
-        long last = known.isEmpty() ? 0 : known.get(known.size() - 1).no();
-        FlattenedObject settings = pairs.section("settings.");
-        double deadline = 0;
+        long lastUpdate = knownUpdates.isEmpty()
+                ? 0
+                : knownUpdates.get(knownUpdates.size() - 1).number();
+        FlattenedObject settings = json.section("settings.");
+        double maxDeadlineMs = 0;
         for (int i = 0; i < settings.itemCount("classes"); i++) {
-            deadline = Math.max(deadline, settings.number("classes." + i + ".hard_limit"));
+            maxDeadlineMs = Math.max(maxDeadlineMs, settings.number("classes." + i + ".hard_limit"));
         }
-        int sockets = pairs.integer("limits.sockets");
-        if (sockets < 64) {
-            throw pairs.invalid("limits.sockets", "leaves no room: at least 64 are needed");
+        int sockets = json.integer("limits.sockets");
+        if (sockets < MIN_SOCKETS) {
+            throw json.invalid(
+                    "limits.sockets", "is too small: at least " + MIN_SOCKETS + " file descriptors are needed");
         }
-        boolean retryAfter = allows(settings, "limits.retry_after");
+        boolean retryAfterAllowed = isAllowed(settings, "limits.retry_after");
         return new NodeConfig(
-                pairs.text("name"),
-                ServerListUpdate.address(pairs, "listen", 0),
-                seed(pairs),
+                json.text("name"),
+                ServerListUpdate.address(json, "listen", 0),
+                seed(json),
                 sockets,
-                ServerListUpdate.address(pairs, "bulletin"),
-                pairs.has("known.no") ? (long) pairs.number("known.no") : last,
-                known,
+                ServerListUpdate.address(json, "bulletin"),
+                json.has("known.no") ? (long) json.number("known.no") : lastUpdate,
+                knownUpdates,
                 new SettingsReader(settings).settings(),
                 settings.number("limits.connect_timeout"),
                 settings.number("limits.conn_idle"),
                 maxStreams(settings),
-                allows(settings, "limits.probing"),
-                deadline,
-                retryAfter);
+                isAllowed(settings, "limits.probing"),
+                maxDeadlineMs,
+                retryAfterAllowed);
     }
 
-    /** What the settings don't speak of is allowed. */
-    private static boolean allows(FlattenedObject settings, String key) {
+    /** Returns a boolean setting; a setting that is absent counts as true. */
+    private static boolean isAllowed(FlattenedObject settings, String key) {
         return !settings.has(key) || settings.text(key).equals("true");
     }
 
@@ -101,19 +105,19 @@
         if (!settings.has("limits.max_streams")) {
             return Integer.MAX_VALUE;
         }
-        int most = settings.integer("limits.max_streams");
-        if (most < 1) {
-            throw settings.invalid("limits.max_streams", "lets no set-up through: at least 1 is needed");
+        int maxStreams = settings.integer("limits.max_streams");
+        if (maxStreams < 1) {
+            throw settings.invalid("limits.max_streams", "must be at least 1");
         }
-        return most;
+        return maxStreams;
     }
 
-    private static long seed(FlattenedObject pairs) {
-        String text = pairs.text("seed");
+    private static long seed(FlattenedObject json) {
+        String text = json.text("seed");
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw pairs.invalid("seed", "is no hex number of 64 bits: '" + text + "'");
+            throw json.invalid("seed", "is not a 64-bit hexadecimal number: '" + text + "'");
         }
     }
 }
--- a/node/src/main/java/spanrill/node/config/ServerListUpdate.java
+++ b/node/src/main/java/spanrill/node/config/ServerListUpdate.java
@@ -9,95 +9,96 @@
 import spanrill.setup.InvalidFieldException;
 
 /**
- * One event of discovery.
+ * An update of the server list, as discovery publishes it.
  *
- * @param no its number, from 1
- * @param whole true for the whole list, false for what has changed
+ * @param number sequence number of the update, from 1
+ * @param complete true when the update holds the complete list, false when it holds only servers that changed
  * @param members the servers
  */
-public record ServerListUpdate(long no, boolean whole, List<Member> members) {
+public record ServerListUpdate(long number, boolean complete, List<Member> members) {
     /**
-     * A server as listed.
+     * A server in the list.
      *
-     * @param server what the module is told
-     * @param address where it listens
+     * @param server the server as the placement module sees it
+     * @param address address on which the server accepts connections
      */
     public record Member(Server server, InetSocketAddress address) {}
 
-    private static final int MOST_MEMBERS = 100_000;
+    private static final int MAX_MEMBERS = 100_000;
 
     /**
-     * Reads an event.
+     * Reads an update.
      *
-     * @throws InvalidFieldException naming the first field that is missing or wrong; nothing of the event may be used
-     *     then
+     * @throws InvalidFieldException with the path of the first field that is missing or invalid; no part of the update
+     *     may be applied then
      */
     public static ServerListUpdate of(FlattenedObject event) {
         FlattenedObject roster = event.section("roster.");
-        long no = (long) event.number("no");
-        if (no < 1) {
-            throw event.invalid("no", "is not above 0");
+        long number = (long) event.number("no");
+        if (number < 1) {
+            throw event.invalid("no", "must be greater than 0");
         }
         int count = roster.itemCount("members");
-        if (!roster.has("members.count") || count > MOST_MEMBERS) {
-            throw roster.invalid("members", "is no list of servers");
+        if (!roster.has("members.count") || count > MAX_MEMBERS) {
+            throw roster.invalid("members", "is not a list of at most " + MAX_MEMBERS + " servers");
         }
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             members.add(member(roster.section("members." + i + ".")));
         }
-        return new ServerListUpdate(no, bool(roster, "complete"), members);
+        return new ServerListUpdate(number, flag(roster, "complete"), members);
     }
 
-    private static boolean bool(FlattenedObject pairs, String key) {
-        String text = pairs.text(key);
+    private static boolean flag(FlattenedObject json, String key) {
+        String text = json.text(key);
         if (!text.equals("true") && !text.equals("false")) {
-            throw pairs.invalid(key, "is neither true nor false: '" + text + "'");
+            throw json.invalid(key, "is neither true nor false: '" + text + "'");
         }
         return text.equals("true");
     }
 
-    private static Member member(FlattenedObject one) {
-        String phase = one.text("phase");
+    private static Member member(FlattenedObject json) {
+        String phase = json.text("phase");
         ServerState state =
                 switch (phase) {
                     case "SERVING" -> ServerState.READY;
                     case "DRAINING" -> ServerState.DRAINING;
                     case "DELETED" -> ServerState.GONE;
-                    default -> throw one.invalid("phase", "is no known state: '" + phase + "'");
+                    default ->
+                        throw json.invalid("phase", "is not one of SERVING, DRAINING and DELETED: '" + phase + "'");
                 };
-        double started = one.optionalNumber("up_since_ms");
+        double startedAt = json.optionalNumber("up_since_ms");
         Server server = new Server(
-                one.text("id"),
-                one.has("locality") ? one.text("locality") : null,
-                one.has("flavor") ? one.text("flavor") : null,
-                one.integer("cell"),
+                json.text("id"),
+                json.has("locality") ? json.text("locality") : null,
+                json.has("flavor") ? json.text("flavor") : null,
+                json.integer("cell"),
                 state,
-                one.optionalNumber("size"),
-                started == 0 ? Double.NaN : started);
-        return new Member(server, address(one, "host_port"));
+                json.optionalNumber("size"),
+                startedAt == 0 ? Double.NaN : startedAt);
+        return new Member(server, address(json, "host_port"));
     }
 
-    /** Reads {@code host:port}, an address in figures: there is no DNS. */
-    public static InetSocketAddress address(FlattenedObject pairs, String key) {
-        return address(pairs, key, 1);
+    /** Reads {@code host:port} with a numeric IP address, since the platform has no DNS, and a port of at least 1. */
+    public static InetSocketAddress address(FlattenedObject json, String key) {
+        return address(json, key, 1);
     }
 
-    /** The same with ports from {@code least}: 0 stands for one that the system picks. */
-    static InetSocketAddress address(FlattenedObject pairs, String key, int least) {
-        String text = pairs.text(key);
+    /** Reads {@code host:port} with a port of at least {@code minPort}; the system picks a free port for port 0. */
+    static InetSocketAddress address(FlattenedObject json, String key, int minPort) {
+        String text = json.text(key);
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon));
         if (host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:.]+]")) {
             try {
                 int port = Integer.parseInt(text.substring(colon + 1));
-                if (port >= least && port < 65_536) {
+                if (port >= minPort && port < 65_536) {
                     return new InetSocketAddress(host, port);
                 }
             } catch (NumberFormatException e) {
-                // said below
+                // The exception below reports the text.
             }
         }
-        throw pairs.invalid(key, "is no address and port: '" + text + "'");
+        throw json.invalid(key, "is not a numeric IP address and port: '" + text + "'");
     }
 }
--- a/node/src/main/java/spanrill/node/config/package-info.java
+++ b/node/src/main/java/spanrill/node/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The front node's configuration and discovery's events, read by a streaming parser; faults name the
- * field.
+ * Reads the configuration of the front node and the server list updates of discovery from JSON. Exceptions carry the
+ * path of the invalid field.
  */
 package spanrill.node.config;
--- a/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
+++ b/node/src/main/java/spanrill/node/discovery/DiscoveryClient.java
@@ -20,118 +20,119 @@
 import spanrill.wire.http.ResponseHead;
 
 /**
- * Follows discovery: one connection at a time, resumed after the last event that was applied. When it is
- * asked again is decided by {@link DiscoveryRetryPolicy}.
+ * Subscribes to discovery over one connection at a time, resuming after the last update that was applied.
+ * {@link DiscoveryRetryPolicy} decides when the client reconnects.
  */
 public final class DiscoveryClient {
     private static final String PATH = "/bulletins";
-    private static final int CONNECT_MS = 500;
-    private static final int MOST_EVENT = 1 << 20;
-    private static final long TICK_MS = 100;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int MAX_EVENT_LENGTH = 1 << 20;
+    private static final long TICK_INTERVAL_MS = 100;
 
     private final EventLoop loop;
     private final EventSink log;
-    private final Consumer<ServerListUpdate> told;
-    private final DiscoveryRetryPolicy watch;
+    private final Consumer<ServerListUpdate> onUpdate;
+    private final DiscoveryRetryPolicy retryPolicy;
     private InetSocketAddress address;
-    private long last;
-    private Stream stream;
+    private long lastUpdate;
+    private Subscription currentSubscription;
 
     /**
-     * A client that is not begun.
+     * Creates a client that does not connect yet.
      *
-     * @param last number of the last event that is known
-     * @param told takes each new event, in order
+     * @param lastUpdate number of the last update that is known
+     * @param onUpdate receives each new update, in order
      */
     public DiscoveryClient(
             EventLoop loop,
             EventSink log,
             InetSocketAddress address,
-            long last,
+            long lastUpdate,
             long seed,
-            Consumer<ServerListUpdate> told) {
+            Consumer<ServerListUpdate> onUpdate) {
         this.loop = loop;
         this.log = log;
         this.address = address;
-        this.last = last;
-        this.told = told;
-        watch = new DiscoveryRetryPolicy(seed);
+        this.lastUpdate = lastUpdate;
+        this.onUpdate = onUpdate;
+        retryPolicy = new DiscoveryRetryPolicy(seed);
     }
 
-    /** Begins to ask. */
+    /** Connects to discovery and starts to check the connection periodically. */
     public void start() {
-        ask();
-        loop.scheduleAtFixedRate(this::onTick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        subscribe();
+        loop.scheduleAtFixedRate(this::onTick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** From now on it is asked elsewhere, at once. */
-    public void moved(InetSocketAddress to) {
-        address = to;
-        drop();
-        ask();
+    /** Changes the address of discovery and connects to it at once. */
+    public void reconnectTo(InetSocketAddress newAddress) {
+        address = newAddress;
+        dropSubscription();
+        subscribe();
     }
 
-    /** True when what was missed is known, as far as it can be had. */
+    /** True when the updates missed before the start have been received, or cannot be obtained in time. */
     public boolean caughtUp() {
-        return watch.isCaughtUp(Clock.monotonicMs());
+        return retryPolicy.isCaughtUp(Clock.monotonicMs());
     }
 
     private void onTick() {
-        if (watch.isRetryDue(Clock.monotonicMs())) {
-            drop();
-            ask();
+        if (retryPolicy.isRetryDue(Clock.monotonicMs())) {
+            dropSubscription();
+            subscribe();
         }
     }
 
-    private void drop() {
-        if (stream != null) {
-            stream.abandon();
-            stream = null;
+    private void dropSubscription() {
+        if (currentSubscription != null) {
+            currentSubscription.abort();
+            currentSubscription = null;
         }
     }
 
-    private void ask() {
-        watch.onRequest(Clock.monotonicMs());
-        Stream next = new Stream();
-        stream = next;
-        HttpClientConnection.open(loop, address, CONNECT_MS, HttpLimits.CLIENT, next::opened, cause -> {
-            if (stream == next) {
-                watch.onFailure(Clock.monotonicMs());
-            }
-        });
+    private void subscribe() {
+        retryPolicy.onRequest(Clock.monotonicMs());
+        Subscription subscription = new Subscription();
+        currentSubscription = subscription;
+        HttpClientConnection.open(
+                loop, address, CONNECT_TIMEOUT_MS, HttpLimits.CLIENT, subscription::onConnected, cause -> {
+                    if (currentSubscription == subscription) {
+                        retryPolicy.onFailure(Clock.monotonicMs());
+                    }
+                });
     }
 
-    /** One answer of discovery. */
-    private final class Stream implements HttpClientConnection.Listener {
-        private final EventStreamParser events = new EventStreamParser(MOST_EVENT, this::event);
+    /** One subscription: a connection to discovery and the event stream of its response. */
+    private final class Subscription implements HttpClientConnection.Listener {
+        private final EventStreamParser parser = new EventStreamParser(MAX_EVENT_LENGTH, this::onEvent);
         private HttpClientConnection connection;
 
-        void opened(HttpClientConnection opened) {
-            connection = opened;
+        void onConnected(HttpClientConnection newConnection) {
+            connection = newConnection;
             Headers headers = new Headers()
                     .add("host", address.getHostString() + ":" + address.getPort())
                     .add("accept", "text/event-stream")
-                    .add("last-event-id", Long.toString(last));
-            if (stream != this) {
-                // Moved, or given up, while it was coming up.
-                abandon();
-            } else if (!opened.send("GET", PATH, headers, new byte[0], this)) {
-                broken();
+                    .add("last-event-id", Long.toString(lastUpdate));
+            if (currentSubscription != this) {
+                // The client moved to another address or gave this attempt up while the connection was being opened.
+                abort();
+            } else if (!newConnection.send("GET", PATH, headers, new byte[0], this)) {
+                fail();
             }
         }
 
-        void abandon() {
+        void abort() {
             if (connection != null) {
                 connection.abort();
             }
         }
 
-        /** Nothing more is taken from it, whatever it goes on to send. */
-        private void broken() {
-            if (stream == this) {
-                stream = null;
-                abandon();
-                watch.onFailure(Clock.monotonicMs());
+        /** Ends the subscription and ignores whatever discovery sends on it afterwards. */
+        private void fail() {
+            if (currentSubscription == this) {
+                currentSubscription = null;
+                abort();
+                retryPolicy.onFailure(Clock.monotonicMs());
             }
         }
 
@@ -139,59 +140,59 @@
         public void onHead(ResponseHead head) {
             if (head.status() != 200) {
                 log.info("discovery.refused", "status", head.status());
-                broken();
-            } else if (stream == this) {
-                watch.onResponse(Clock.monotonicMs());
+                fail();
+            } else if (currentSubscription == this) {
+                retryPolicy.onResponse(Clock.monotonicMs());
             }
         }
 
         @Override
-        public void onData(ByteBuf part) {
-            if (stream != this) {
+        public void onData(ByteBuf data) {
+            if (currentSubscription != this) {
                 return;
             }
-            watch.onData(Clock.monotonicMs());
+            retryPolicy.onData(Clock.monotonicMs());
             try {
-                events.feed(part);
-            } catch (HttpProtocolException fault) {
-                log.info("discovery.malformed", "reason", fault.getMessage());
-                broken();
+                parser.feed(data);
+            } catch (HttpProtocolException e) {
+                log.info("discovery.malformed", "reason", e.getMessage());
+                fail();
             }
         }
 
-        private void event(String id, String data) {
-            if (stream != this) {
+        private void onEvent(String id, String data) {
+            if (currentSubscription != this) {
                 return;
             }
-            ServerListUpdate roster;
+            ServerListUpdate update;
             try {
-                roster = ServerListUpdate.of(JsonPairs.read(data.getBytes(StandardCharsets.UTF_8)));
-            } catch (InvalidFieldException fault) {
-                // The list in force stays whole; the same event is asked for again.
-                log.info("discovery.malformed", "id", id, "reason", fault.getMessage());
-                broken();
+                update = ServerListUpdate.of(JsonPairs.read(data.getBytes(StandardCharsets.UTF_8)));
+            } catch (InvalidFieldException e) {
+                // The current list stays unchanged; the same update is requested again on the next connection.
+                log.info("discovery.malformed", "id", id, "reason", e.getMessage());
+                fail();
                 return;
             }
-            if (roster.no() <= last) {
+            if (update.number() <= lastUpdate) {
                 return;
             }
-            if (roster.no() > last + 1 && !roster.whole()) {
-                log.info("discovery.gap", "after", last, "came", roster.no());
-                broken();
+            if (update.number() > lastUpdate + 1 && !update.complete()) {
+                log.info("discovery.gap", "after", lastUpdate, "came", update.number());
+                fail();
                 return;
             }
-            last = roster.no();
-            told.accept(roster);
+            lastUpdate = update.number();
+            onUpdate.accept(update);
         }
 
         @Override
         public void onEnd() {
-            broken();
+            fail();
         }
 
         @Override
-        public void onFailure(HttpClientConnection.Failure loss, String reason) {
-            broken();
+        public void onFailure(HttpClientConnection.Failure failure, String reason) {
+            fail();
         }
     }
 }
--- a/node/src/main/java/spanrill/node/discovery/package-info.java
+++ b/node/src/main/java/spanrill/node/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Discovery: server-sent events with the list of servers. On the event loop only. */
+/** Client of discovery, which publishes the server list as server-sent events. Used on the event loop only. */
 package spanrill.node.discovery;
--- a/node/src/main/java/spanrill/node/package-info.java
+++ b/node/src/main/java/spanrill/node/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The front node: the platform's protocol in and out around the module, in one process with one event loop.
+ * The front node: connects the placement module to viewers, servers and discovery by the platform protocol, in one
+ * process with one event loop.
  */
 package spanrill.node;
--- a/node/src/test/java/spanrill/node/config/NodeConfigTest.java
+++ b/node/src/test/java/spanrill/node/config/NodeConfigTest.java
@@ -14,7 +14,7 @@
 import spanrill.setup.InvalidFieldException;
 
 class NodeConfigTest {
-    private static final String GOOD = TestConfig.json(
+    private static final String VALID = TestConfig.json(
             3868,
             4222,
             List.of(
@@ -27,15 +27,15 @@
 
     @Test
     void readsAConfiguration() {
-        NodeConfig config = read(GOOD);
+        NodeConfig config = read(VALID);
         assertEquals("n0", config.name());
         assertEquals(3868, config.listen().getPort());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(2, config.knownNo());
+        assertEquals(2, config.lastKnownUpdate());
         assertEquals(
                 ServerState.DRAINING,
-                config.known().get(1).members().get(0).server().state());
-        assertEquals(1500, config.deadlineMs());
+                config.knownUpdates().get(1).members().get(0).server().state());
+        assertEquals(1500, config.maxDeadlineMs());
         assertEquals(List.of(100.0, 200.0, 400.0), config.settings().rungKb());
         assertTrue(config.settings().classes().get(1).once());
         assertTrue(config.settings().tenants().isEmpty());
@@ -57,25 +57,26 @@
                 "\"class_top\":[2,2]|\"class_top\":[2]|settings.family_info.class_top",
                 "\"class_top\":[2,2]|\"class_top\":[[2],2]|settings.family_info.class_top"
             })
-    void faultsNameTheField(String good, String bad, String path) {
-        assertTrue(GOOD.contains(good), good);
-        InvalidFieldException fault = assertThrows(
-                InvalidFieldException.class, () -> read(GOOD.replaceFirst(java.util.regex.Pattern.quote(good), bad)));
-        assertEquals(path, fault.path());
+    void invalidFieldIsNamedByItsPath(String validText, String invalidText, String path) {
+        assertTrue(VALID.contains(validText), validText);
+        InvalidFieldException exception = assertThrows(
+                InvalidFieldException.class,
+                () -> read(VALID.replaceFirst(java.util.regex.Pattern.quote(validText), invalidText)));
+        assertEquals(path, exception.path());
     }
 
-    /** Cut anywhere it is a fault, never a configuration and never another exception. */
+    /** A truncated file is rejected with the exception for invalid fields, wherever it ends. */
     @Test
-    void truncationAtEveryByteIsAFault() {
-        String whole = GOOD.stripTrailing();
-        for (int n = 0; n < whole.length(); n++) {
-            String cut = whole.substring(0, n);
-            assertThrows(InvalidFieldException.class, () -> read(cut));
+    void configurationTruncatedAtAnyByteIsRejected() {
+        String complete = VALID.stripTrailing();
+        for (int length = 0; length < complete.length(); length++) {
+            String truncated = complete.substring(0, length);
+            assertThrows(InvalidFieldException.class, () -> read(truncated));
         }
     }
 
     @Test
-    void deepOrEndlessJsonIsAFault() {
+    void tooDeepTooLongOrMalformedJsonIsRejected() {
         assertThrows(InvalidFieldException.class, () -> read("{\"a\":".repeat(1000)));
         assertThrows(InvalidFieldException.class, () -> read("{\"a\":\"" + "x".repeat(100_000) + "\"}"));
         assertThrows(InvalidFieldException.class, () -> read("[1]"));
