--- a/node/src/main/java/spanrill/node/server/ConnectionPool.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPool.java
@@ -21,14 +21,19 @@
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
 
-/** One server id: its connections and what is owed to it. Connections are the id's, never the address's. */
+/**
+ * The connections and pending releases of one server id. Connections belong to the id, not to the address: an address may
+ * pass to another server.
+ */
 final class ConnectionPool {
-    // Idle connections take nothing past this share of the server's idle time, and are closed a little later.
-    private static final double IDLE_SHARE = 0.5;
-    private static final int MOST_OWED = 4096;
-    // One for each set-up up to so many: beyond, the cost of new connections in a rush outweighs what an
-    // answer that can't be read would spoil.
-    private static final int MOST_LINKS = 6;
+    // Share of the server's idle time-out after which an idle connection gets no set-up, since the server may be
+    // closing
+    // it; the periodic check closes it a little later.
+    private static final double IDLE_TIMEOUT_SHARE = 0.5;
+    private static final int MAX_PENDING_RELEASES = 4096;
+    // Up to this limit each open set-up gets its own connection. Beyond it, opening connections in a burst costs more
+    // than the set-ups that are lost when an answer on a shared connection cannot be parsed.
+    private static final int MAX_CONNECTIONS = 6;
 
     private final String id;
     private final EventLoop loop;
@@ -38,18 +43,18 @@
     private final SessionHost host;
     private final EventSink log;
     private final EventSink trace;
-    private final ConnectionSelector choice;
-    private final FailureDetector silence;
-    private final List<ServerConnection> links = new ArrayList<>();
+    private final ConnectionSelector selector;
+    private final FailureDetector failureDetector;
+    private final List<ServerConnection> connections = new ArrayList<>();
     private final Set<Long> pendingReleases = new LinkedHashSet<>();
     private InetSocketAddress address;
-    private int most = 2;
-    private int standing;
+    private int maxConnections = 2;
+    private int establishedSessions;
     private boolean draining;
     private boolean gone;
-    private boolean replaced;
-    private double openAfter;
-    private boolean refusedLast;
+    private boolean addressReplaced;
+    private double nextOpenAt;
+    private boolean lastConnectRefused;
 
     ConnectionPool(
             String id,
@@ -70,8 +75,8 @@
         this.host = host;
         this.log = log;
         this.trace = trace;
-        choice = new ConnectionSelector(IDLE_SHARE * limits.idleMs(), limits.mostOnOne());
-        silence = new FailureDetector(limits.silentMs(), limits.connectMs());
+        selector = new ConnectionSelector(IDLE_TIMEOUT_SHARE * limits.idleMs(), limits.maxSetUpsPerConnection());
+        failureDetector = new FailureDetector(limits.silentMs(), limits.connectMs());
     }
 
     String id() {
@@ -82,296 +87,317 @@
         return address;
     }
 
-    void listed(InetSocketAddress at, boolean drains) {
-        trace.info("listed", "server", id, "address", at);
-        if (!at.equals(address)) {
-            address = at;
-            links.forEach(ServerConnection::retire);
+    void updateListing(InetSocketAddress listedAddress, boolean isDraining) {
+        trace.info("listed", "server", id, "address", listedAddress);
+        if (!listedAddress.equals(address)) {
+            address = listedAddress;
+            connections.forEach(ServerConnection::retire);
         }
-        draining = drains;
+        draining = isDraining;
         gone = false;
-        replaced = false;
+        addressReplaced = false;
     }
 
-    /** The list tells late: a server that it calls gone ended before, and with it all that stood there. */
-    void gone() {
+    /**
+     * Marks the server as gone and reports its sessions as lost. The list is updated late: a server that it calls gone has
+     * already ended, and all its sessions with it.
+     */
+    void markGone() {
         if (!gone) {
-            links.forEach(ServerConnection::retire);
+            connections.forEach(ServerConnection::retire);
         }
-        trace.info("gone", "server", id, "standing", standing, "links", links.size());
+        trace.info("gone", "server", id, "established", establishedSessions, "connections", connections.size());
         gone = true;
-        dead("gone");
+        reportLost("gone");
     }
 
-    /** Another server has its address now: nothing new may be opened. */
-    void replaced() {
-        replaced = true;
-        lostIfDead();
+    /** Records that another server has this server's address: no new connection may be opened. */
+    void markAddressReplaced() {
+        addressReplaced = true;
+        reportLostIfReplaced();
     }
 
-    /** True when nothing new may go there. */
-    boolean leaving() {
+    /** True when the server gets no new set-ups. */
+    boolean isLeaving() {
         return draining || gone;
     }
 
-    /** True when nothing of it is left. */
-    boolean finished() {
-        return gone && standing == 0 && links.isEmpty();
+    /** True when the server is gone and has neither sessions nor connections left. */
+    boolean isRemovable() {
+        return gone && establishedSessions == 0 && connections.isEmpty();
     }
 
-    // ---- what sessions ask
+    // ---- requests of the session host
 
     void setUp(Attempt attempt) {
-        List<ConnectionSelector.Connection> seen = new ArrayList<>();
+        List<ConnectionSelector.Connection> candidates = new ArrayList<>();
         double now = Clock.monotonicMs();
-        for (ServerConnection link : links) {
-            seen.add(new ConnectionSelector.Connection(link.open(), now - link.usedAt(), link.usable()));
+        for (ServerConnection connection : connections) {
+            candidates.add(new ConnectionSelector.Connection(
+                    connection.openSetUps(), now - connection.lastUsedAt(), connection.acceptsSetUps()));
         }
-        int chosen = choice.select(seen, !replaced && keptLinks() < most && budget.open() < budget.limit());
+        int chosen = selector.select(
+                candidates,
+                !addressReplaced && retainedConnections() < maxConnections && budget.open() < budget.limit());
         if (chosen == ConnectionSelector.NONE_AVAILABLE) {
-            // A lack of room here says nothing against the server; that another has its address does.
+            // An exhausted pool is no failure of the server; an address that belongs to another server is.
             host.onAttemptEnded(
                     attempt,
-                    OutcomeTable.outcomeOf(Stage.CONNECTING, replaced ? Event.CONNECT_REFUSED : Event.POOL_EXHAUSTED),
+                    OutcomeTable.outcomeOf(
+                            Stage.CONNECTING, addressReplaced ? Event.CONNECT_REFUSED : Event.POOL_EXHAUSTED),
                     null);
             return;
         }
-        ServerConnection link = chosen == ConnectionSelector.OPEN_NEW ? open() : links.get(chosen);
-        link.setUp(attempt);
+        ServerConnection connection =
+                chosen == ConnectionSelector.OPEN_NEW ? openConnection() : connections.get(chosen);
+        connection.setUp(attempt);
     }
 
-    /** True when nothing of it was written. */
+    /** Gives an attempt up; true when no byte of its set-up was written. */
     boolean giveUp(Attempt attempt) {
-        for (ServerConnection link : links) {
-            if (link.holds(attempt)) {
-                return link.giveUp(attempt);
+        for (ServerConnection connection : connections) {
+            if (connection.isCarrying(attempt)) {
+                return connection.giveUp(attempt);
             }
         }
         return false;
     }
 
-    /** What waits for a connection to come up: it is no longer to be sent. */
+    /** Withdraws and returns the attempts that wait for a connection to be established. */
     List<Attempt> withdrawUnsent() {
-        List<Attempt> all = new ArrayList<>();
-        links.forEach(link -> all.addAll(link.withdrawUnsent()));
-        return all;
+        List<Attempt> withdrawn = new ArrayList<>();
+        connections.forEach(connection -> withdrawn.addAll(connection.withdrawUnsent()));
+        return withdrawn;
     }
 
-    /** True while a release waits for a connection that is coming up. */
+    /** True while a release waits for a connection that is being established. */
     boolean hasPendingReleases() {
-        return !pendingReleases.isEmpty() && links.stream().anyMatch(link -> !link.connected());
+        return !pendingReleases.isEmpty() && connections.stream().anyMatch(connection -> !connection.isConnected());
     }
 
-    /** True while something lies in buffers of this process. */
+    /** True while a connection has output that was not handed to the operating system. */
     boolean hasUnflushed() {
-        return links.stream().anyMatch(ServerConnection::hasUnflushed);
+        return connections.stream().anyMatch(ServerConnection::hasUnflushed);
     }
 
     void release(long session) {
-        ServerConnection link = live();
-        if (link != null) {
-            link.release(session);
-        } else if (!gone && !replaced) {
-            releaseLater(session);
+        ServerConnection connection = preferredConnection();
+        if (connection != null) {
+            connection.release(session);
+        } else if (!gone && !addressReplaced) {
+            queueRelease(session);
             ensureConnection();
         }
     }
 
     /**
-     * A session may stand here though nobody knows it: its answer was lost with its connection, or could not
-     * be read. It is released when there is a connection; none is opened for it.
+     * Releases a session that the server may have established unknown to the host: its answer was lost with its
+     * connection, or could not be parsed. The release waits for the next connection; none is opened for it.
      */
-    void possiblyEstablished(long session) {
-        ServerConnection link = live();
-        if (link != null) {
-            link.release(session);
-        } else if (!gone && !replaced) {
-            releaseLater(session);
+    void releasePossiblyEstablished(long session) {
+        ServerConnection connection = preferredConnection();
+        if (connection != null) {
+            connection.release(session);
+        } else if (!gone && !addressReplaced) {
+            queueRelease(session);
         }
     }
 
-    /** Releases that may have been lost with their connection. */
-    void releaseAgain(List<Long> sessions) {
+    /** Sends releases again that may have been lost with their connection. */
+    void retransmitReleases(List<Long> sessions) {
         sessions.forEach(this::release);
     }
 
-    private void releaseLater(long session) {
-        if (pendingReleases.size() < MOST_OWED) {
+    private void queueRelease(long session) {
+        if (pendingReleases.size() < MAX_PENDING_RELEASES) {
             pendingReleases.add(session);
         }
     }
 
-    void rung(long session, int rung) {
-        ServerConnection link = holding(session);
-        link = link == null ? live() : link;
-        if (link != null) {
-            link.send(new Message(MessageType.RUNG, session).with(Parameter.RUNG, Integer.toString(rung)));
+    void sendRung(long session, int rung) {
+        ServerConnection connection = connectionCarrying(session);
+        connection = connection == null ? preferredConnection() : connection;
+        if (connection != null) {
+            connection.send(new Message(MessageType.RUNG, session).with(Parameter.RUNG, Integer.toString(rung)));
         }
     }
 
-    void standing(int sessions) {
-        if (standing == 0 && sessions > 0) {
-            silence.onReceived(Clock.monotonicMs());
+    void setEstablishedSessions(int count) {
+        if (establishedSessions == 0 && count > 0) {
+            failureDetector.onReceived(Clock.monotonicMs());
         }
-        standing = sessions;
-        if (sessions > 0 && keptLinks() == 0) {
-            // News of them can only come on a connection.
+        establishedSessions = count;
+        if (count > 0 && retainedConnections() == 0) {
+            // The server can report the end of a session only on a connection.
             ensureConnection();
         }
     }
 
-    private ServerConnection holding(long session) {
-        for (ServerConnection link : links) {
-            if (link.carries(session)) {
-                return link;
+    private ServerConnection connectionCarrying(long session) {
+        for (ServerConnection connection : connections) {
+            if (connection.hasOpenSetUp(session)) {
+                return connection;
             }
         }
         return null;
     }
 
-    /** A connection that stands, the one heard from last. */
-    private ServerConnection live() {
+    /**
+     * The connection for messages that need no particular one: of those that accept set-ups, or else of all writable ones,
+     * the one on which data was received last. Null when there is none.
+     */
+    private ServerConnection preferredConnection() {
         ServerConnection best = null;
-        for (ServerConnection link : links) {
-            if (link.writable()
+        for (ServerConnection connection : connections) {
+            if (connection.isWritable()
                     && (best == null
-                            || link.usable() && !best.usable()
-                            || link.usable() == best.usable() && link.heardAt() > best.heardAt())) {
-                best = link;
+                            || connection.acceptsSetUps() && !best.acceptsSetUps()
+                            || connection.acceptsSetUps() == best.acceptsSetUps()
+                                    && connection.lastReceivedAt() > best.lastReceivedAt())) {
+                best = connection;
             }
         }
         return best;
     }
 
-    /** Connections that are up or coming up, and not about to end. */
-    private long keptLinks() {
-        return links.stream().filter(link -> !link.closing()).count();
+    /** Number of connections that are established or being established and that this side is not closing. */
+    private long retainedConnections() {
+        return connections.stream()
+                .filter(connection -> !connection.isClosing())
+                .count();
     }
 
-    private long usableLinks() {
-        return links.stream().filter(ServerConnection::usable).count();
+    private long connectionsAcceptingSetUps() {
+        return connections.stream().filter(ServerConnection::acceptsSetUps).count();
     }
 
     // ---- connections
 
-    private ServerConnection open() {
+    private ServerConnection openConnection() {
         budget.tryOpen();
-        ServerConnection link = new ServerConnection(this, host, nextIteration);
-        links.add(link);
-        link.connect(loop, address, limits.connectMs());
-        return link;
+        ServerConnection connection = new ServerConnection(this, host, nextIteration);
+        connections.add(connection);
+        connection.connect(loop, address, limits.connectMs());
+        return connection;
     }
 
-    /** Opens a connection where there is none, so that news of sessions there can come. */
+    /**
+     * Opens a connection if at most one is retained, so that the server can report on its sessions; at most once per
+     * connect time-out.
+     */
     private void ensureConnection() {
         double now = Clock.monotonicMs();
-        if (keptLinks() < 2 && !replaced && now >= openAfter && budget.open() < budget.limit()) {
-            openAfter = now + limits.connectMs();
-            open();
+        if (retainedConnections() < 2 && !addressReplaced && now >= nextOpenAt && budget.open() < budget.limit()) {
+            nextOpenAt = now + limits.connectMs();
+            openConnection();
         }
     }
 
-    void opened(ServerConnection link) {
-        refusedLast = false;
-        if (!limits.mayTest()) {
-            // The best word of it that may be asked for.
-            silence.onReceived(Clock.monotonicMs());
-        } else if (silence.isSuspect()) {
-            link.send(new Message(MessageType.TEST, 0).withCause(0));
+    void onConnected(ServerConnection connection) {
+        lastConnectRefused = false;
+        if (!limits.testingAllowed()) {
+            // Tests are not allowed, so a new connection is the best available sign of life.
+            failureDetector.onReceived(Clock.monotonicMs());
+        } else if (failureDetector.isSuspect()) {
+            connection.send(new Message(MessageType.TEST, 0).withCause(0));
         }
-        pendingReleases.forEach(link::release);
+        pendingReleases.forEach(connection::release);
         pendingReleases.clear();
     }
 
-    void heard() {
-        silence.onReceived(Clock.monotonicMs());
+    void onReceived() {
+        failureDetector.onReceived(Clock.monotonicMs());
     }
 
-    /** A connection has ended, or never came up. */
-    void ended(ServerConnection link, boolean refused) {
-        if (!links.remove(link)) {
+    /** Handles the end of a connection, or a failure to establish it. */
+    void onConnectionEnded(ServerConnection connection, boolean refused) {
+        if (!connections.remove(connection)) {
             return;
         }
         trace.info(
-                "linkEnded",
+                "connection.ended",
                 "server",
                 id,
                 "refused",
                 refused,
-                "left",
-                links.size(),
+                "remaining",
+                connections.size(),
                 "open",
-                link.open(),
-                "standing",
-                standing);
+                connection.openSetUps(),
+                "established",
+                establishedSessions);
         budget.onClosed();
-        refusedLast = refused;
+        lastConnectRefused = refused;
         if (refused
-                && silence.isGoneAfterRefusal(
-                        Clock.monotonicMs(), links.stream().anyMatch(ServerConnection::connected))) {
-            dead("refused");
+                && failureDetector.isGoneAfterRefusal(
+                        Clock.monotonicMs(), connections.stream().anyMatch(ServerConnection::isConnected))) {
+            reportLost("refused");
         } else {
-            lostIfDead();
-            if (standing > 0 && !link.retired()) {
-                // Lost by the other end: a server that died is told from one that lives by a new connection.
+            reportLostIfReplaced();
+            if (establishedSessions > 0 && !connection.isRetired()) {
+                // The server closed it or it broke: a new connection shows whether the server is alive.
                 ensureConnection();
             }
         }
     }
 
-    private void lostIfDead() {
-        if (replaced && links.stream().noneMatch(ServerConnection::connected)) {
-            dead("replaced");
+    private void reportLostIfReplaced() {
+        if (addressReplaced && connections.stream().noneMatch(ServerConnection::isConnected)) {
+            reportLost("replaced");
         }
     }
 
-    private void dead(String why) {
-        if (standing > 0) {
-            log.info("server.lost", "server", id, "why", why, "sessions", standing);
+    private void reportLost(String reason) {
+        if (establishedSessions > 0) {
+            log.info("server.lost", "server", id, "why", reason, "sessions", establishedSessions);
             host.onServerLost(id);
         }
     }
 
-    /** A look now and then; {@code each}: connections that one server may have. */
-    void onTick(int each) {
-        most = Math.min(each, MOST_LINKS);
+    /**
+     * Closes idle connections and checks whether the server is alive; called periodically.
+     *
+     * @param connectionShare number of connections that each server may have within the budget
+     */
+    void onTick(int connectionShare) {
+        maxConnections = Math.min(connectionShare, MAX_CONNECTIONS);
         double now = Clock.monotonicMs();
-        for (ServerConnection link : List.copyOf(links)) {
-            boolean idle = link.connected() && link.open() == 0;
-            boolean needed = standing > 0 && link.usable() && usableLinks() == 1;
+        for (ServerConnection connection : List.copyOf(connections)) {
+            boolean idle = connection.isConnected() && connection.openSetUps() == 0;
+            boolean needed = establishedSessions > 0 && connection.acceptsSetUps() && connectionsAcceptingSetUps() == 1;
             if (idle
-                    && (!link.usable()
-                            || now - link.usedAt() > IDLE_SHARE * limits.idleMs() && !needed
-                            || gone && standing == 0)) {
-                link.retire();
+                    && (!connection.acceptsSetUps()
+                            || now - connection.lastUsedAt() > IDLE_TIMEOUT_SHARE * limits.idleMs() && !needed
+                            || gone && establishedSessions == 0)) {
+                connection.retire();
             }
         }
-        if (standing == 0) {
+        if (establishedSessions == 0) {
             return;
         }
-        if (keptLinks() == 0) {
-            lostIfDead();
+        if (retainedConnections() == 0) {
+            reportLostIfReplaced();
             ensureConnection();
             return;
         }
-        if (refusedLast) {
-            // One more refusal after a while in which nothing came tells a death from a listener that was
+        if (lastConnectRefused) {
+            // Another refusal, after an interval without any data, tells a dead server from one whose accept queue was
             // full.
             ensureConnection();
         }
-        switch (silence.nextStep(now)) {
+        switch (failureDetector.nextStep(now)) {
             case TEST -> {
-                ServerConnection link = limits.mayTest() ? live() : null;
-                if (link != null) {
-                    link.send(new Message(MessageType.TEST, 0).withCause(0));
+                ServerConnection connection = limits.testingAllowed() ? preferredConnection() : null;
+                if (connection != null) {
+                    connection.send(new Message(MessageType.TEST, 0).withCause(0));
                 }
             }
             case CONNECT -> {
-                if (!replaced && budget.open() < budget.limit()) {
-                    open();
+                if (!addressReplaced && budget.open() < budget.limit()) {
+                    openConnection();
                 }
             }
-            case GONE -> dead("silent");
+            case GONE -> reportLost("silent");
             default -> {}
         }
     }
--- a/node/src/main/java/spanrill/node/server/ConnectionPools.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPools.java
@@ -21,7 +21,7 @@
 import spanrill.node.session.SessionHost;
 import spanrill.session.EventSink;
 
-/** All servers that were ever told of and still matter, by id. */
+/** The connection pools of all servers that are listed, hold sessions or have open connections, by server id. */
 public final class ConnectionPools implements ServerSide {
     private static final long TICK_MS = 200;
 
@@ -35,7 +35,7 @@
     private final Set<Attempt> unsent = new LinkedHashSet<>();
     private SessionHost host;
 
-    /** Connections are opened on the loop, within the budget. */
+    /** Creates the pools; connections are opened on {@code loop}, within {@code budget}. */
     public ConnectionPools(
             EventLoop loop, ServerLimits limits, ConnectionBudget budget, EventSink log, EventSink trace) {
         this.loop = loop;
@@ -46,77 +46,85 @@
         this.trace = trace;
     }
 
-    /** Begins; what comes of attempts is told to the host. */
-    public void start(SessionHost told) {
-        host = told;
+    /** Starts the periodic checks; outcomes of attempts are reported to {@code sessionHost}. */
+    public void start(SessionHost sessionHost) {
+        host = sessionHost;
         loop.scheduleAtFixedRate(this::onTick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** A server is listed at an address; {@code draining}: nothing new goes there. */
+    /** Applies a list entry of a server; a draining server gets no new set-ups. */
     public void onServerListed(String id, InetSocketAddress address, boolean draining) {
-        ConnectionPool listed = servers.computeIfAbsent(
+        ConnectionPool pool = servers.computeIfAbsent(
                 id, i -> new ConnectionPool(i, address, loop, nextIteration, limits, budget, host, log, trace));
-        listed.listed(address, draining);
+        pool.updateListing(address, draining);
         for (ConnectionPool other : servers.values()) {
             if (!other.id().equals(id) && other.address().equals(address)) {
-                // A new server has taken the address: nothing that is opened there reaches the old one.
-                other.replaced();
+                // A new server has the address: a connection opened to it does not reach the old server.
+                other.markAddressReplaced();
             }
         }
     }
 
-    /** The list says that a server is gone. */
+    /** Applies a list entry that says that a server is gone. */
     public void onServerGone(String id) {
         ConnectionPool server = servers.get(id);
         if (server != null) {
-            server.gone();
+            server.markGone();
         }
     }
 
-    /** The whole list came: a server that is not on it is gone. */
+    /** Applies a complete list: a server that is not on it is gone. */
     public void retainOnly(List<spanrill.SessionControl.Server> list) {
-        Set<String> named = new HashSet<>();
-        list.forEach(server -> named.add(server.id()));
-        servers.values().stream().filter(server -> !named.contains(server.id())).forEach(ConnectionPool::gone);
+        Set<String> listedIds = new HashSet<>();
+        list.forEach(server -> listedIds.add(server.id()));
+        servers.values().stream()
+                .filter(server -> !listedIds.contains(server.id()))
+                .forEach(ConnectionPool::markGone);
     }
 
     /**
-     * Takes back what waits for a connection to a server that is leaving: a connection may come up later than
-     * new set-ups may reach it.
+     * Withdraws the set-ups that wait for a connection to a draining or gone server: the connection may be established
+     * only after the server has stopped accepting set-ups.
      */
     public void withdrawUnsent() {
         for (ConnectionPool server : List.copyOf(servers.values())) {
-            if (server.leaving()) {
-                server.withdrawUnsent().forEach(this::unoffered);
+            if (server.isLeaving()) {
+                server.withdrawUnsent().forEach(this::reportNotSent);
             }
         }
     }
 
-    /** Connections on which a release is yet to go out, or the proof that it can't. */
+    /**
+     * Number of servers with a pending release and a connection being established: the release is sent on that connection,
+     * or its failure shows that the server cannot be reached.
+     */
     public int poolsWithPendingReleases() {
         return (int) servers.values().stream()
                 .filter(ConnectionPool::hasPendingReleases)
                 .count();
     }
 
-    /** True while something that was said lies in buffers of this process. */
+    /** True while set-ups or other messages have not been handed to the operating system. */
     public boolean hasUnflushed() {
         return !unsent.isEmpty() || servers.values().stream().anyMatch(ConnectionPool::hasUnflushed);
     }
 
     private void onTick() {
-        List<ConnectionPool> done = new ArrayList<>();
-        int each = Math.max(2, budget.limit() / Math.max(1, servers.size()));
+        List<ConnectionPool> removable = new ArrayList<>();
+        int maxConnectionsPerServer = Math.max(2, budget.limit() / Math.max(1, servers.size()));
         for (ConnectionPool server : new ArrayList<>(servers.values())) {
-            server.onTick(each);
-            if (server.finished()) {
-                done.add(server);
+            server.onTick(maxConnectionsPerServer);
+            if (server.isRemovable()) {
+                removable.add(server);
             }
         }
-        done.forEach(server -> servers.remove(server.id()));
+        removable.forEach(server -> servers.remove(server.id()));
     }
 
-    /** Goes out when what came before this was read: its viewer may have left, the server may have closed. */
+    /**
+     * Sends the set-up in the next iteration of the event loop, after all input that has already arrived is read: its
+     * viewer may have left, or the server may have closed the connection.
+     */
     @Override
     public void setUp(Attempt attempt) {
         if (unsent.isEmpty()) {
@@ -127,13 +135,13 @@
 
     private void send() {
         for (Attempt attempt : List.copyOf(unsent)) {
-            // What becomes of one may give up another.
+            // The outcome of one attempt may give up another.
             if (unsent.remove(attempt)) {
                 send(attempt);
             }
         }
         if (!unsent.isEmpty()) {
-            // What came of one made another, while more were left: it has its own round to wait for.
+            // An outcome reported above has added an attempt, which waits for the next iteration as well.
             nextIteration.execute(this::send);
         }
     }
@@ -142,14 +150,14 @@
         ConnectionPool server = servers.get(attempt.server());
         if (server == null) {
             host.onAttemptEnded(attempt, Outcome.CONNECT_FAILED, null);
-        } else if (server.leaving()) {
-            unoffered(attempt);
+        } else if (server.isLeaving()) {
+            reportNotSent(attempt);
         } else {
             server.setUp(attempt);
         }
     }
 
-    private void unoffered(Attempt attempt) {
+    private void reportNotSent(Attempt attempt) {
         host.onAttemptEnded(attempt, OutcomeTable.outcomeOf(Stage.CONNECTING, Event.POOL_EXHAUSTED), null);
     }
 
@@ -173,9 +181,9 @@
     @Override
     public void setRung(String id, long session, int rung) {
         ConnectionPool server = servers.get(id);
-        // A set-up that is still to go out takes its rung with it.
+        // A set-up that is not sent yet carries its current rung itself.
         if (server != null && unsent.stream().noneMatch(attempt -> attempt.session() == session)) {
-            server.rung(session, rung);
+            server.sendRung(session, rung);
         }
     }
 
@@ -183,7 +191,7 @@
     public void setEstablishedSessions(String id, int sessions) {
         ConnectionPool server = servers.get(id);
         if (server != null) {
-            server.standing(sessions);
+            server.setEstablishedSessions(sessions);
         }
     }
 }
--- a/node/src/main/java/spanrill/node/server/ServerConnection.java
+++ b/node/src/main/java/spanrill/node/server/ServerConnection.java
@@ -45,37 +45,39 @@
 import spanrill.wire.platform.SetUp;
 
 /**
- * One connection to a server. A connection that carried what can't be read is closed, and one whose answer
- * stayed out takes nothing new: neither tells what became of the rest.
+ * One connection to a server. A connection on which input cannot be parsed is closed, and one on which an answer stayed
+ * out gets no new set-ups: in both cases the outcome of the other set-ups on it is unknown.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    // A release has to be heard within 1 s, so what was written so long before the end has been.
-    private static final double ARRIVED_MS = 1000;
-    private static final int MOST_SAID = 512;
-    /** A server that has seen the end of the output closes within a round trip; slow ones get this long. */
+    // A server has to receive a release within 1 s, so a release written that long before the end of the connection
+    // counts as received.
+    private static final double RELEASE_RECEIVED_MS = 1000;
+    private static final int MAX_UNACKNOWLEDGED = 512;
+    /** Maximum wait for the server to close its side; a server normally does so within a round trip. */
     private static final long LINGER_MS = 500;
 
     private final ConnectionPool server;
     private final SessionHost host;
     private final MessageDecoder decoder = new MessageDecoder();
-    private final Map<Long, Attempt> open = new LinkedHashMap<>();
-    // Of those open, the ones of which nothing was written yet.
+    private final Map<Long, Attempt> openAttempts = new LinkedHashMap<>();
+    // The open attempts of which no byte was written yet.
     private final Set<Attempt> unwritten = new LinkedHashSet<>();
-    private final UnacknowledgedReleases unacknowledged = new UnacknowledgedReleases(ARRIVED_MS, MOST_SAID);
+    private final UnacknowledgedReleases unacknowledged =
+            new UnacknowledgedReleases(RELEASE_RECEIVED_MS, MAX_UNACKNOWLEDGED);
     private final NextIterationExecutor nextIteration;
     private Channel channel;
     private boolean connected;
-    private boolean suspect;
+    private boolean closedToSetUps;
     private boolean retired;
-    /** Nothing can be written any more; what the server still says is read. */
+    /** This side is closing the connection; input is still read. */
     private boolean closing;
 
-    private boolean over;
-    /** Judges answers for set-ups that are not open here: late ones are usual, an endless stream is not. */
-    private final AbuseLimiter unsolicited = new AbuseLimiter();
+    private boolean ended;
+    /** Limits answers to set-ups that are not open here: late answers are usual, an endless stream is not. */
+    private final AbuseLimiter unsolicitedAnswers = new AbuseLimiter();
 
-    private double usedAt = Clock.monotonicMs();
-    private double heardAt = usedAt;
+    private double lastUsedAt = Clock.monotonicMs();
+    private double lastReceivedAt = lastUsedAt;
 
     ServerConnection(ConnectionPool server, SessionHost host, NextIterationExecutor nextIteration) {
         this.server = server;
@@ -94,10 +96,10 @@
         channel = future.channel();
         future.addListener(f -> {
             if (f.isSuccess()) {
-                opened();
+                onConnected();
             } else {
-                // Refused by the other end, and neither late nor closed here meanwhile: only that says that
-                // no process listens there.
+                // Only a refusal by the server's host proves that no process listens there; a time-out or a close
+                // by this side does not.
                 boolean refused =
                         f.cause() instanceof ConnectException && !(f.cause() instanceof ConnectTimeoutException);
                 finish(refused ? Event.CONNECT_REFUSED : Event.CONNECT_TIMED_OUT, refused);
@@ -105,78 +107,78 @@
         });
     }
 
-    private void opened() {
+    private void onConnected() {
         connected = true;
-        heardAt = Clock.monotonicMs();
-        server.opened(this);
-        // What came while this connection did is read first: the viewers may have left.
-        nextIteration.execute(this::writeWaiting);
+        lastReceivedAt = Clock.monotonicMs();
+        server.onConnected(this);
+        // Input that arrived while the connection was being established is read first: the viewers may have left.
+        nextIteration.execute(this::writeUnwritten);
     }
 
-    private void writeWaiting() {
+    private void writeUnwritten() {
         for (Attempt attempt : List.copyOf(unwritten)) {
-            if (!over && unwritten.contains(attempt)) {
+            if (!ended && unwritten.contains(attempt)) {
                 write(attempt);
             }
         }
     }
 
-    // ---- how it stands
+    // ---- state
 
-    int open() {
-        return open.size();
+    int openSetUps() {
+        return openAttempts.size();
     }
 
-    boolean carries(long session) {
-        return open.containsKey(session);
+    boolean hasOpenSetUp(long session) {
+        return openAttempts.containsKey(session);
     }
 
-    boolean holds(Attempt attempt) {
-        return open.get(attempt.session()) == attempt;
+    boolean isCarrying(Attempt attempt) {
+        return openAttempts.get(attempt.session()) == attempt;
     }
 
-    /** True while something lies in buffers of this process. */
+    /** True while output has not been handed to the operating system. */
     boolean hasUnflushed() {
         ChannelOutboundBuffer out = connected ? channel.unsafe().outboundBuffer() : null;
         return out != null && !out.isEmpty();
     }
 
-    boolean connected() {
-        return connected && !over;
+    boolean isConnected() {
+        return connected && !ended;
     }
 
-    /** True when this side has ended it and reads what the server still says. */
-    boolean closing() {
+    /** True when this side has begun to close the connection and still reads input. */
+    boolean isClosing() {
         return closing;
     }
 
-    /** True when messages may be written to it. */
-    boolean writable() {
-        return connected() && !closing;
+    /** True when messages may be written to the connection. */
+    boolean isWritable() {
+        return isConnected() && !closing;
     }
 
-    boolean usable() {
-        return !suspect && !over;
+    boolean acceptsSetUps() {
+        return !closedToSetUps && !ended;
     }
 
-    /** True when this side ended it, or was about to. */
-    boolean retired() {
+    /** True when this side has closed the connection or will close it. */
+    boolean isRetired() {
         return retired;
     }
 
-    double usedAt() {
-        return usedAt;
+    double lastUsedAt() {
+        return lastUsedAt;
     }
 
-    double heardAt() {
-        return heardAt;
+    double lastReceivedAt() {
+        return lastReceivedAt;
     }
 
-    // ---- what goes out
+    // ---- output
 
     void setUp(Attempt attempt) {
-        usedAt = Clock.monotonicMs();
-        open.put(attempt.session(), attempt);
+        lastUsedAt = Clock.monotonicMs();
+        openAttempts.put(attempt.session(), attempt);
         unwritten.add(attempt);
         if (connected) {
             write(attempt);
@@ -185,22 +187,22 @@
 
     private void write(Attempt attempt) {
         unwritten.remove(attempt);
-        SetUp asked = attempt.setUp();
+        SetUp setUp = attempt.setUp();
         Message message = new Message(MessageType.SET_UP, attempt.session())
-                .with(Parameter.CLASS, asked.className())
+                .with(Parameter.CLASS, setUp.className())
                 .with(Parameter.WAIT, Long.toString(host.remainingMs(attempt)))
-                .with(Parameter.TITLE, asked.title())
-                .with(Parameter.DESCRIPTION, asked.description());
+                .with(Parameter.TITLE, setUp.title())
+                .with(Parameter.DESCRIPTION, setUp.description());
         if (attempt.rung() >= 0) {
             message.with(Parameter.RUNG, Integer.toString(attempt.rung()));
         }
-        boolean nothingWaits = channel.isWritable()
+        boolean outputEmpty = channel.isWritable()
                 && channel.unsafe().outboundBuffer() != null
                 && channel.unsafe().outboundBuffer().isEmpty();
         ChannelFuture written = send(message);
-        if (written.isDone() && !written.isSuccess() && nothingWaits) {
-            // The operating system took no byte of it: proof that it never ran.
-            open.remove(attempt.session());
+        if (written.isDone() && !written.isSuccess() && outputEmpty) {
+            // The operating system accepted no byte of the set-up, which proves that it never ran.
+            openAttempts.remove(attempt.session());
             host.onAttemptEnded(attempt, OutcomeTable.outcomeOf(Stage.CONNECTED, Event.RESET), null);
         }
     }
@@ -211,43 +213,43 @@
         return channel.writeAndFlush(out);
     }
 
-    /** Releases a session that stands, or may. */
+    /** Releases a session that is or may be established. */
     void release(long session) {
         unacknowledged.recordWritten(Clock.monotonicMs(), session);
         send(new Message(MessageType.RELEASE, session).withCause(Cause.NORMAL_CLEARING));
     }
 
-    /** Gives up an attempt that is held here; true when nothing of it was written. */
+    /** Gives up an attempt that is open here; true when no byte of its set-up was written. */
     boolean giveUp(Attempt attempt) {
-        open.remove(attempt.session());
+        openAttempts.remove(attempt.session());
         if (unwritten.remove(attempt)) {
             return true;
         }
         release(attempt.session());
-        suspect |= host.remainingMs(attempt) <= 1;
+        closedToSetUps |= host.remainingMs(attempt) <= 1;
         return false;
     }
 
-    /** What waits for the connection to come up; it is open here no longer. */
+    /** Withdraws and returns the attempts that wait for the connection to be established. */
     List<Attempt> withdrawUnsent() {
         List<Attempt> waiting = List.copyOf(unwritten);
         unwritten.clear();
-        waiting.forEach(attempt -> open.remove(attempt.session()));
+        waiting.forEach(attempt -> openAttempts.remove(attempt.session()));
         return waiting;
     }
 
-    /** Takes nothing new and closes once nothing is open on it. */
+    /** Stops accepting set-ups and closes the connection once no set-up is open on it. */
     void retire() {
-        suspect = true;
+        closedToSetUps = true;
         retired = true;
-        if (open.isEmpty()) {
+        if (openAttempts.isEmpty()) {
             close();
         }
     }
 
     /**
-     * Ends it in order: what was written goes out, the output is shut down, and what the server still says is
-     * read until it ends its side too, or a bounded time has passed.
+     * Closes the connection in order: flushes the output, shuts it down, and reads input until the server closes its side
+     * or {@link #LINGER_MS} have passed.
      */
     private void close() {
         if (closing || channel == null) {
@@ -268,16 +270,16 @@
         });
     }
 
-    // ---- what comes in
+    // ---- input
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object part) {
         ByteBuf in = (ByteBuf) part;
         try {
-            if (!over) {
-                heardAt = Clock.monotonicMs();
-                server.heard();
-                decoder.feed(in, this::message);
+            if (!ended) {
+                lastReceivedAt = Clock.monotonicMs();
+                server.onReceived();
+                decoder.feed(in, this::handleMessage);
             }
         } catch (MalformedFrameException fault) {
             finish(Event.RESET, false);
@@ -285,63 +287,63 @@
         } finally {
             in.release();
         }
-        if (suspect && open.isEmpty()) {
+        if (closedToSetUps && openAttempts.isEmpty()) {
             close();
         }
     }
 
-    private boolean message(Message message) {
+    private boolean handleMessage(Message message) {
         switch (message.type()) {
-            case ANSWER -> answer(message);
-            case RELEASE -> release(message);
-            case NOTE -> note(message);
+            case ANSWER -> handleAnswer(message);
+            case RELEASE -> handleRelease(message);
+            case NOTE -> handleNote(message);
             case RELEASE_ACKNOWLEDGED -> unacknowledged.acknowledge(message.session());
             default -> {}
         }
-        return !over;
+        return !ended;
     }
 
-    private void answer(Message message) {
-        Attempt attempt = open.remove(message.session());
+    private void handleAnswer(Message message) {
+        Attempt attempt = openAttempts.remove(message.session());
         if (attempt == null) {
-            stray();
+            chargeUnsolicitedAnswer();
             return;
         }
-        usedAt = heardAt;
+        lastUsedAt = lastReceivedAt;
         byte[] description = message.get(Parameter.DESCRIPTION);
         if (description == null || message.hasDuplicateParameter()) {
-            // Framed well, yet no answer: what else comes here can't be trusted either.
-            suspect = true;
-            server.possiblyEstablished(attempt.session());
+            // A valid frame with an invalid answer: further answers on this connection are not trustworthy.
+            closedToSetUps = true;
+            server.releasePossiblyEstablished(attempt.session());
             host.onAttemptEnded(attempt, Outcome.RESET, null);
             return;
         }
         host.onAnswer(attempt, description);
     }
 
-    private void release(Message message) {
+    private void handleRelease(Message message) {
         unacknowledged.acknowledge(message.session());
-        Attempt attempt = open.remove(message.session());
+        Attempt attempt = openAttempts.remove(message.session());
         if (attempt != null) {
-            usedAt = heardAt;
-            host.onAttemptEnded(attempt, ReleaseOutcomes.beforeAnswer(message.cause()), load(message));
+            lastUsedAt = lastReceivedAt;
+            host.onAttemptEnded(attempt, ReleaseOutcomes.beforeAnswer(message.cause()), parseLoad(message));
         } else {
             host.onSessionEnded(
-                    server.id(), message.session(), ReleaseOutcomes.afterAnswer(message.cause()), load(message));
+                    server.id(), message.session(), ReleaseOutcomes.afterAnswer(message.cause()), parseLoad(message));
         }
     }
 
-    private void stray() {
-        if (unsolicited.chargeRejectedSetUp(Clock.monotonicMs())) {
+    private void chargeUnsolicitedAnswer() {
+        if (unsolicitedAnswers.chargeRejectedSetUp(Clock.monotonicMs())) {
             finish(Event.RESET, false);
             channel.close();
         }
     }
 
-    private void note(Message message) {
+    private void handleNote(Message message) {
         String kind = message.text(Parameter.NOTE_KIND);
         double value = LoadReport.parseFinite(message.text(Parameter.NOTE_VALUE));
-        NoteKind told = kind == null
+        NoteKind noteKind = kind == null
                 ? null
                 : switch (kind) {
                     case "quality" -> NoteKind.DELIVERED;
@@ -350,12 +352,12 @@
                     case "tor" -> NoteKind.UPLINK_USE;
                     default -> null;
                 };
-        if (told != null && !Double.isNaN(value)) {
-            host.onNote(server.id(), message.session(), told, value);
+        if (noteKind != null && !Double.isNaN(value)) {
+            host.onNote(server.id(), message.session(), noteKind, value);
         }
     }
 
-    private static Load load(Message message) {
+    private static Load parseLoad(Message message) {
         Map<String, Double> report = LoadReport.parse(message.text(Parameter.LOAD_REPORT));
         return report == null ? null : SettingsReader.load(report);
     }
@@ -374,23 +376,24 @@
     }
 
     private void finish(Event event, boolean refused) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         decoder.release();
-        List<Attempt> lost = new ArrayList<>(open.values());
+        List<Attempt> openAtEnd = new ArrayList<>(openAttempts.values());
         Set<Attempt> unsent = Set.copyOf(unwritten);
-        open.clear();
+        openAttempts.clear();
         unwritten.clear();
-        server.ended(this, refused);
-        server.releaseAgain(unacknowledged.takeUnacknowledged(Clock.monotonicMs()));
-        for (Attempt attempt : lost) {
-            boolean never = unsent.contains(attempt);
-            if (!never) {
-                server.possiblyEstablished(attempt.session());
+        server.onConnectionEnded(this, refused);
+        server.retransmitReleases(unacknowledged.takeUnacknowledged(Clock.monotonicMs()));
+        for (Attempt attempt : openAtEnd) {
+            boolean neverWritten = unsent.contains(attempt);
+            if (!neverWritten) {
+                server.releasePossiblyEstablished(attempt.session());
             }
-            host.onAttemptEnded(attempt, OutcomeTable.outcomeOf(never ? Stage.CONNECTING : Stage.WRITTEN, event), null);
+            host.onAttemptEnded(
+                    attempt, OutcomeTable.outcomeOf(neverWritten ? Stage.CONNECTING : Stage.WRITTEN, event), null);
         }
     }
 }
--- a/node/src/main/java/spanrill/node/server/ServerLimits.java
+++ b/node/src/main/java/spanrill/node/server/ServerLimits.java
@@ -1,12 +1,13 @@
 package spanrill.node.server;
 
 /**
- * Limits towards servers; times in ms.
+ * Limits for connections to servers; times are in ms.
  *
- * @param connectMs a connection that has not come up by then has failed
- * @param idleMs servers close connections that were idle for so long
- * @param silentMs a server with sessions that has said nothing for so long is tested
- * @param mostOnOne set-ups open on one connection at most
- * @param mayTest true when servers may be tested
+ * @param connectMs time-out of connecting
+ * @param idleMs servers close connections that have been idle for this long
+ * @param silentMs a server that holds sessions and has sent nothing for this long is tested
+ * @param maxSetUpsPerConnection maximum number of set-ups open on one connection
+ * @param testingAllowed true when test messages may be sent to servers
  */
-public record ServerLimits(int connectMs, double idleMs, double silentMs, int mostOnOne, boolean mayTest) {}
+public record ServerLimits(
+        int connectMs, double idleMs, double silentMs, int maxSetUpsPerConnection, boolean testingAllowed) {}
--- a/node/src/main/java/spanrill/node/server/package-info.java
+++ b/node/src/main/java/spanrill/node/server/package-info.java
@@ -1,2 +1,5 @@
-/** Connections to servers, one set for each server id, and what comes on them. On the event loop only. */
+/**
+ * Connections to servers, one pool for each server id, and the messages received on them. All classes are confined to
+ * the event loop.
+ */
 package spanrill.node.server;
