--- a/node/src/main/java/spanrill/node/server/ConnectionPool.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPool.java
@@ -22,8 +22,8 @@
 import spanrill.wire.platform.Parameter;
 
 /**
- * The connections and pending releases of one server id. Connections belong to the id, not to the address: an address may
- * pass to another server.
+ * The connections and pending releases of one server id. Connections belong to the id, not to the address: an address
+ * may pass to another server.
  */
 final class ConnectionPool {
     // Share of the server's idle time-out after which an idle connection gets no set-up, since the server may be
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Marks the server as gone and reports its sessions as lost. The list is updated late: a server that it calls gone has
-     * already ended, and all its sessions with it.
+     * Marks the server as gone and reports its sessions as lost. The list is updated late: a server that it calls gone
+     * has already ended, and all its sessions with it.
      */
     void markGone() {
         if (!gone) {
@@ -243,8 +243,8 @@
     }
 
     /**
-     * The connection for messages that need no particular one: of those that accept set-ups, or else of all writable ones,
-     * the one on which data was received last. Null when there is none.
+     * The connection for messages that need no particular one: of those that accept set-ups, or else of all writable
+     * ones, the one on which data was received last. Null when there is none.
      */
     private ServerConnection preferredConnection() {
         ServerConnection best = null;
@@ -315,7 +315,7 @@
             return;
         }
         trace.info(
-                "connection.ended",
+                "connectionEnded",
                 "server",
                 id,
                 "refused",
@@ -381,8 +381,8 @@
             return;
         }
         if (lastConnectRefused) {
-            // Another refusal, after an interval without any data, tells a dead server from one whose accept queue was
-            // full.
+            // Another refusal, after an interval without any data, distinguishes a dead server from one whose accept
+            // queue was full.
             ensureConnection();
         }
         switch (failureDetector.nextStep(now)) {
--- a/node/src/main/java/spanrill/node/server/ConnectionPools.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPools.java
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Number of servers with a pending release and a connection being established: the release is sent on that connection,
-     * or its failure shows that the server cannot be reached.
+     * Number of servers with a pending release and a connection being established: the release is sent on that
+     * connection, or its failure shows that the server cannot be reached.
      */
     public int poolsWithPendingReleases() {
         return (int) servers.values().stream()
--- a/node/src/main/java/spanrill/node/server/ServerConnection.java
+++ b/node/src/main/java/spanrill/node/server/ServerConnection.java
@@ -248,8 +248,8 @@
     }
 
     /**
-     * Closes the connection in order: flushes the output, shuts it down, and reads input until the server closes its side
-     * or {@link #LINGER_MS} have passed.
+     * Closes the connection in order: flushes the output, shuts it down, and reads input until the server closes its
+     * side or {@link #LINGER_MS} have passed.
      */
     private void close() {
         if (closing || channel == null) {
--- a/node/src/main/java/spanrill/node/session/Attempt.java
+++ b/node/src/main/java/spanrill/node/session/Attempt.java
@@ -6,35 +6,35 @@
 public final class Attempt {
     private final NodeSession session;
     private final String server;
-    private final double until;
+    private final double deadline;
 
-    Attempt(NodeSession session, String server, double until) {
+    Attempt(NodeSession session, String server, double deadline) {
         this.session = session;
         this.server = server;
-        this.until = until;
+        this.deadline = deadline;
     }
 
-    /** The session that it is for. */
+    /** Id of the session. */
     public long session() {
         return session.id();
     }
 
-    /** What the viewer asked for. */
+    /** The viewer's set-up. */
     public SetUp setUp() {
         return session.setUp();
     }
 
-    /** The server's id. */
+    /** Id of the server. */
     public String server() {
         return server;
     }
 
-    /** Time at which it is given up, ms on the scheduler's clock. */
-    public double until() {
-        return until;
+    /** Time at which the attempt is given up, in ms on the scheduler's clock. */
+    public double deadline() {
+        return deadline;
     }
 
-    /** The rung as it is asked for now, or -1: the lowest of the class. */
+    /** The rung that the module has set last, or -1 for the lowest one of the class. */
     public int rung() {
         return session.rung;
     }
--- a/node/src/main/java/spanrill/node/session/ClientLink.java
+++ b/node/src/main/java/spanrill/node/session/ClientLink.java
@@ -1,22 +1,26 @@
 package spanrill.node.session;
 
-/** A viewers' connection as sessions see it. What is sent on one that has ended is dropped. */
+/** The operations of sessions on a client connection. Messages sent after its end are dropped. */
 public interface ClientLink {
-    /** True while what is sent may arrive. */
+    /** True while messages can be sent on the connection. */
     boolean isWritable();
 
-    /** The session stands; the server's description. */
+    /** Sends the answer that the session is established, with the server's description. */
     void sendAnswer(long session, byte[] description);
 
-    /** A set-up that was open on it was given up, perhaps on another: no answer follows. */
+    /** A set-up that was open on this connection was withdrawn, here or on another connection: no answer follows. */
     void requestWithdrawn(long session);
 
-    /** Final answer or end; {@code stayAwayMs} above 0 tells when to come again. */
-    void sendRelease(long session, ReleaseReason end, double stayAwayMs);
+    /**
+     * Sends the release of a set-up or a session.
+     *
+     * @param stayAwayMs time after which the client may retry, in ms; 0 for none
+     */
+    void sendRelease(long session, ReleaseReason reason, double stayAwayMs);
 
-    /** A session that was set up on it stands, or no longer. */
-    void establishedSessionsChanged(boolean more);
+    /** A session that was set up on this connection was established, or an established one has ended. */
+    void establishedSessionsChanged(boolean added);
 
-    /** The session ends here, its viewer comes again. */
+    /** Tells the client that the session moves: it ends here and the client sends a new set-up. */
     void sendMove(long session);
 }
--- a/node/src/main/java/spanrill/node/session/ClientReleases.java
+++ b/node/src/main/java/spanrill/node/session/ClientReleases.java
@@ -5,21 +5,23 @@
 import spanrill.session.EventSink;
 import spanrill.session.SerialExecutor;
 
-/** Tells viewers that their sessions are over, on whatever connection there is, until they have heard it. */
+/** Sends viewers the releases of their established sessions, on any client connection, until they acknowledge them. */
 final class ClientReleases {
-    // The rules give 8 s from the end of a session to its release.
-    private static final double OWED_MS = 8000;
-    private static final int MOST_OWED = 8192;
-    // A viewer says at once that it heard a release; 1 s is given from the server's release to the viewer's.
-    private static final double HEARD_MS = 300;
-    private static final int TRIES = 5;
-    private static final double LOOK_MS = 100;
+    // The rules allow 8 s from the end of a session to its release.
+    private static final double RELEASE_TIMEOUT_MS = 8000;
+    private static final int MAX_PENDING = 8192;
+    // A viewer acknowledges a release at once. The rules allow 1 s from the release by the server to the release to the
+    // viewer.
+    private static final double ACKNOWLEDGEMENT_TIMEOUT_MS = 300;
+    private static final int MAX_TRANSMISSIONS = 5;
+    private static final double CHECK_INTERVAL_MS = 100;
 
     private final SerialExecutor executor;
     private final EventSink trace;
     private final Supplier<ClientLink> anyLink;
-    private final PendingReleases<ReleaseReason> owed = new PendingReleases<>(OWED_MS, HEARD_MS, TRIES, MOST_OWED);
-    private boolean looking;
+    private final PendingReleases<ReleaseReason> pending =
+            new PendingReleases<>(RELEASE_TIMEOUT_MS, ACKNOWLEDGEMENT_TIMEOUT_MS, MAX_TRANSMISSIONS, MAX_PENDING);
+    private boolean checkScheduled;
 
     ClientReleases(SerialExecutor executor, EventSink trace, Supplier<ClientLink> anyLink) {
         this.executor = executor;
@@ -27,58 +29,67 @@
         this.anyLink = anyLink;
     }
 
-    /** The connection that reaches a session's viewer: its own while that is open, or null. */
+    /** The connection for messages to a session's viewer: its own while writable, else any other, or null. */
     ClientLink linkTo(NodeSession session) {
         return session.link.isWritable() ? session.link : anyLink.get();
     }
 
-    /** A session that stood is over. */
-    void tell(NodeSession session, ReleaseReason end) {
+    /** Sends the release of a session that has ended, and again until it is acknowledged. */
+    void sendUntilAcknowledged(NodeSession session, ReleaseReason reason) {
         ClientLink link = linkTo(session);
-        trace.info("tellOver", "id", session.name(), "end", end, "own", link == session.link, "link", link != null);
-        PendingReleases.PendingRelease<ReleaseReason> one = owed.add(executor.now(), session.id(), end);
+        trace.info(
+                "releasePending",
+                "id",
+                session.name(),
+                "reason",
+                reason,
+                "ownLink",
+                link == session.link,
+                "link",
+                link != null);
+        PendingReleases.PendingRelease<ReleaseReason> release = pending.add(executor.now(), session.id(), reason);
         if (link != null) {
-            send(one, link);
+            send(release, link);
         }
-        lookLater();
+        scheduleCheck();
     }
 
-    /** A viewers' connection can take what is owed. */
-    void ready(ClientLink link) {
-        if (!owed.isEmpty()) {
-            owed.due(executor.now()).forEach(one -> send(one, link));
+    /** Sends the releases that are due on a client connection. */
+    void sendDue(ClientLink link) {
+        if (!pending.isEmpty()) {
+            pending.due(executor.now()).forEach(release -> send(release, link));
         }
     }
 
-    /** A viewer has heard it: true when that was owed. */
-    boolean heard(long id) {
-        return owed.acknowledge(id);
+    /** Handles the acknowledgement of a release; true when that release was pending. */
+    boolean acknowledge(long id) {
+        return pending.acknowledge(id);
     }
 
-    /** Releases that no viewer has heard yet. */
-    int size() {
-        return owed.size();
+    /** Number of releases that are not acknowledged. */
+    int pendingCount() {
+        return pending.size();
     }
 
-    private void send(PendingReleases.PendingRelease<ReleaseReason> one, ClientLink link) {
-        owed.markSent(executor.now(), one);
-        link.sendRelease(one.session(), one.end(), 0);
+    private void send(PendingReleases.PendingRelease<ReleaseReason> release, ClientLink link) {
+        pending.markSent(executor.now(), release);
+        link.sendRelease(release.session(), release.end(), 0);
     }
 
-    private void look() {
+    private void sendDueOnAnyLink() {
         ClientLink link = anyLink.get();
         if (link != null) {
-            ready(link);
+            sendDue(link);
         }
-        looking = false;
-        lookLater();
+        checkScheduled = false;
+        scheduleCheck();
     }
 
-    /** One look at a time is due, however often what is owed comes and goes. */
-    private void lookLater() {
-        if (!looking && !owed.isEmpty()) {
-            looking = true;
-            executor.schedule(LOOK_MS, now -> look());
+    /** Schedules the next check unless one is scheduled: one timer at a time, however many releases are pending. */
+    private void scheduleCheck() {
+        if (!checkScheduled && !pending.isEmpty()) {
+            checkScheduled = true;
+            executor.schedule(CHECK_INTERVAL_MS, now -> sendDueOnAnyLink());
         }
     }
 }
--- a/node/src/main/java/spanrill/node/session/EstablishedSessions.java
+++ b/node/src/main/java/spanrill/node/session/EstablishedSessions.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The sessions that stand, by server. Servers and client connections are told how many they have. */
+/** The established sessions by server. Keeps the counts of servers and client connections up to date. */
 final class EstablishedSessions {
     private final ServerSide servers;
     private final Map<String, Set<NodeSession>> byServer = new HashMap<>();
@@ -15,31 +15,31 @@
         this.servers = servers;
     }
 
-    /** A session stands from now on, ms on the scheduler's clock. */
+    /** Adds a session that is established at {@code now}, in ms on the scheduler's clock. */
     void add(NodeSession session, double now) {
-        Set<NodeSession> there = byServer.computeIfAbsent(session.server, s -> new LinkedHashSet<>());
-        there.add(session);
+        Set<NodeSession> atServer = byServer.computeIfAbsent(session.server, name -> new LinkedHashSet<>());
+        atServer.add(session);
         session.link.establishedSessionsChanged(true);
-        session.standsSince = now;
-        servers.setEstablishedSessions(session.server, there.size());
+        session.establishedAt = now;
+        servers.setEstablishedSessions(session.server, atServer.size());
     }
 
-    /** A session that stood is over. */
+    /** Removes a session that has ended. */
     void remove(NodeSession session) {
         session.link.establishedSessionsChanged(false);
-        Set<NodeSession> there = byServer.get(session.server);
-        if (there != null && there.remove(session)) {
-            if (there.isEmpty()) {
+        Set<NodeSession> atServer = byServer.get(session.server);
+        if (atServer != null && atServer.remove(session)) {
+            if (atServer.isEmpty()) {
                 byServer.remove(session.server);
             }
-            servers.setEstablishedSessions(session.server, there.size());
+            servers.setEstablishedSessions(session.server, atServer.size());
         }
     }
 
-    /** The sessions that stood at a server before a time, ms on the scheduler's clock. */
-    List<NodeSession> at(String server, double before) {
+    /** The sessions at a server that were established before a time, in ms on the scheduler's clock. */
+    List<NodeSession> establishedBefore(String server, double time) {
         return byServer.getOrDefault(server, Set.of()).stream()
-                .filter(session -> session.standsSince < before)
+                .filter(session -> session.establishedAt < time)
                 .toList();
     }
 }
--- a/node/src/main/java/spanrill/node/session/ModuleActions.java
+++ b/node/src/main/java/spanrill/node/session/ModuleActions.java
@@ -6,13 +6,13 @@
 import spanrill.decisions.SessionState.Phase;
 import spanrill.session.EventSink;
 
-/** What the module asks for: checked against the state of the session, then carried out by the host. */
+/** Checks the module's actions against the state of the session and passes them to the host. */
 final class ModuleActions implements SessionControl.Actions {
     private final SessionHost host;
     private final Function<String, NodeSession> sessions;
     private final EventSink log;
 
-    /** Actions on the sessions of a host, which are found by their ids in the module. */
+    /** Creates actions on the sessions of a host; {@code sessions} finds a session by its id in the module. */
     ModuleActions(SessionHost host, Function<String, NodeSession> sessions, EventSink log) {
         this.host = host;
         this.sessions = sessions;
@@ -20,13 +20,13 @@
     }
 
     @Override
-    public void send(String request, double until, String server) {
+    public void send(String request, double deadline, String server) {
         NodeSession session = sessions.apply(request);
         if (session == null || !session.state().allows(Event.SEND)) {
             log.info("send.impossible", "session", request, "server", server);
             return;
         }
-        host.send(session, until, server);
+        host.send(session, deadline, server);
     }
 
     @Override
@@ -37,7 +37,7 @@
         }
         session.rung = rung;
         if (session.state().phase() == Phase.PLAYING || session.state().hasOpenAttempt()) {
-            host.rung(session);
+            host.sendRung(session);
         }
     }
 
@@ -60,20 +60,20 @@
             fail(request);
             return;
         }
-        host.answer(session, Event.REFUSE, ReleaseReason.REFUSED, retryAfterMs);
+        host.sendFinalAnswer(session, Event.REFUSE, ReleaseReason.REFUSED, retryAfterMs);
     }
 
     @Override
     public void fail(String request) {
         NodeSession session = sessions.apply(request);
         if (session != null && session.state().allows(Event.FAIL)) {
-            host.answer(session, Event.FAIL, ReleaseReason.FAILED, 0);
+            host.sendFinalAnswer(session, Event.FAIL, ReleaseReason.FAILED, 0);
         }
     }
 
     @Override
     public void timer(String token, double delayMs) {
-        host.timer(token, delayMs);
+        host.scheduleTimer(token, delayMs);
     }
 
     @Override
--- a/node/src/main/java/spanrill/node/session/NodeSession.java
+++ b/node/src/main/java/spanrill/node/session/NodeSession.java
@@ -11,7 +11,7 @@
     private final String name;
     private final String viewer;
     private final SessionState state;
-    /** Kept until the answer only: descriptions may be long, sessions last. */
+    /** Dropped after the answer, since descriptions may be long and sessions last. */
     private SetUp setUp;
 
     ClientLink link;
@@ -19,9 +19,9 @@
     String server;
     int rung = -1;
     double sentAt;
-    double standsSince;
-    Scheduler.Timer deadline;
-    Scheduler.Timer giveUp;
+    double establishedAt;
+    Scheduler.Timer deadlineTimer;
+    Scheduler.Timer giveUpTimer;
 
     NodeSession(SetUp setUp, ClientLink link, boolean once) {
         id = setUp.session();
@@ -36,7 +36,7 @@
         return id;
     }
 
-    /** Its id in the module: 16 hex digits. */
+    /** Id of the session in the module: 16 hex digits. */
     String name() {
         return name;
     }
@@ -53,21 +53,21 @@
         return setUp;
     }
 
-    /** It was answered or is over: what only a set-up needs is let go. */
-    void settled() {
+    /** Drops the set-up, the attempt and their timers, after the answer or the end. */
+    void clearSetUp() {
         setUp = null;
         attempt = null;
-        cancel(deadline);
-        cancel(giveUp);
-        deadline = null;
-        giveUp = null;
+        cancel(deadlineTimer);
+        cancel(giveUpTimer);
+        deadlineTimer = null;
+        giveUpTimer = null;
     }
 
-    /** The attempt at hand has ended. */
-    void attemptOver() {
+    /** Drops the current attempt and its timer, after the end of the attempt. */
+    void clearAttempt() {
         attempt = null;
-        cancel(giveUp);
-        giveUp = null;
+        cancel(giveUpTimer);
+        giveUpTimer = null;
     }
 
     private static void cancel(Scheduler.Timer timer) {
--- a/node/src/main/java/spanrill/node/session/ReleaseReason.java
+++ b/node/src/main/java/spanrill/node/session/ReleaseReason.java
@@ -1,13 +1,13 @@
 package spanrill.node.session;
 
-/** What a viewer is told when a session does not stand, or no longer. */
+/** Why a viewer gets a release: the result of a set-up without a session, or the end of an established session. */
 public enum ReleaseReason {
-    /** Refused: trying again is harmless. */
+    /** The set-up was refused: a retry is harmless. */
     REFUSED,
-    /** Failed, with no assurance about its effect. */
+    /** The set-up failed; whether it had an effect is unknown. */
     FAILED,
-    /** It stood and came to its end. */
+    /** The established session ended normally. */
     OVER,
-    /** It stood and was cut. */
+    /** The established session was lost before its normal end. */
     CUT
 }
--- a/node/src/main/java/spanrill/node/session/ServerSide.java
+++ b/node/src/main/java/spanrill/node/session/ServerSide.java
@@ -1,23 +1,28 @@
 package spanrill.node.session;
 
-/** The servers as sessions see them. What comes of an attempt is told to the {@link SessionHost}. */
+/** The operations of sessions on servers. Outcomes of attempts are reported to the {@link SessionHost}. */
 public interface ServerSide {
-    /** Sends a set-up; exactly one of {@code answered} and {@code ended} follows, unless it is given up. */
+    /**
+     * Sends a set-up. Exactly one of {@link SessionHost#onAnswer} and {@link SessionHost#onAttemptEnded} follows,
+     * unless the attempt is given up.
+     */
     void setUp(Attempt attempt);
 
     /**
-     * Gives an attempt up; nothing is told of it any more.
+     * Gives an attempt up; its outcome is not reported any more.
      *
-     * @return true when nothing of it was written: proof that it never ran
+     * @return true when no byte of its set-up was written, which proves that it never ran
      */
     boolean giveUp(Attempt attempt);
 
-    /** Ends a session that stands. */
+    /** Ends an established session. */
     void release(String server, long session);
 
-    /** Sets the rung of a session that is being set up or stands. */
+    /** Sets the rung of a session that is being set up or established. */
     void setRung(String server, long session, int rung);
 
-    /** Sessions stand at a server, or no longer: news of them must be able to arrive. */
+    /**
+     * Sets the number of sessions established at a server; while there are any, a connection to it is kept for reports.
+     */
     void setEstablishedSessions(String server, int sessions);
 }
--- a/node/src/main/java/spanrill/node/session/SessionHost.java
+++ b/node/src/main/java/spanrill/node/session/SessionHost.java
@@ -26,24 +26,27 @@
 import spanrill.wire.platform.SetUp;
 
 /**
- * Hosts the module: executor what viewers and servers send into its events, carries out its actions, and owns
- * the rules that it can't see: one answer to each request, one attempt out, releases owed to either side.
+ * Hosts the placement module: turns messages of viewers and servers into the module's events, carries out its actions,
+ * and enforces the rules that the module cannot see: one answer to each request, at most one open attempt for each
+ * session, and releases to viewers and servers.
  *
- * <p>It decides nothing about where a session goes, its rung, moves or refusals.
+ * <p>The module alone decides on servers, rungs, moves and refusals.
  */
 public final class SessionHost {
-    // A final answer still missing this long after the viewer's time is given by the host.
-    private static final double NET_MS = 3;
-    // A moved session is ended by the platform at its server; if the server has not said so, it is released.
-    private static final double MOVED_MS = 500;
-    // Once due, an attempt is given up after one more round of the loop, which takes about so long.
-    private static final double UNREAD_MS = 1;
-    // The list tells of a new server some seconds late.
-    private static final double UNLISTED_MS = 6000;
-    // A release may be read before the set-up that it ends, where the two come on two connections; after a
-    // start also before the session is told of again. The rules give 8 s for what has to be released.
-    private static final double EARLY_MS = 8000;
-    private static final int MOST_EARLY = 2048;
+    // If the module has not answered a request this long after the viewer's deadline, the host fails the request.
+    private static final double DEADLINE_GUARD_MS = 3;
+    // The platform ends a moved session at its server. If the server has not reported the end within this time, the
+    // host releases the session.
+    private static final double MOVE_CONFIRMATION_MS = 500;
+    // An attempt whose deadline has passed is given up after one more iteration of the event loop, which takes about
+    // this long.
+    private static final double LOOP_ITERATION_MS = 1;
+    // The list names a new server some seconds late; a session taken over at a server that is unlisted for longer ends.
+    private static final double LISTING_DELAY_MS = 6000;
+    // A release may be read before the set-up that it ends when the two arrive on different connections, and after a
+    // start also before the session is handed over to this node. The rules allow 8 s for a release.
+    private static final double EARLY_EVENT_TTL_MS = 8000;
+    private static final int MAX_EARLY_EVENTS = 2048;
 
     private final SetUpLimits limits;
     private final Scheduler scheduler;
@@ -54,26 +57,26 @@
     private final ClientReleases releases;
     private final SessionControl control;
     private final Map<Long, NodeSession> sessions = new HashMap<>();
-    private final Map<String, NodeSession> byName = new HashMap<>();
-    private final EstablishedSessions established;
-    private final MovedSessions moved = new MovedSessions();
-    private final Set<String> listed = new HashSet<>();
-    private final ExpiringMap<Boolean> releasedEarly = new ExpiringMap<>(EARLY_MS, MOST_EARLY);
-    private final ExpiringMap<EarlyEnd> endedEarly = new ExpiringMap<>(EARLY_MS, MOST_EARLY);
-    /** No answer is given after this time, ms on the scheduler's clock: the process is about to end. */
+    private final Map<String, NodeSession> sessionsByName = new HashMap<>();
+    private final EstablishedSessions establishedSessions;
+    private final MovedSessions movedSessions = new MovedSessions();
+    private final Set<String> listedServers = new HashSet<>();
+    private final ExpiringMap<Boolean> earlyReleases = new ExpiringMap<>(EARLY_EVENT_TTL_MS, MAX_EARLY_EVENTS);
+    private final ExpiringMap<EarlyEnd> earlyEnds = new ExpiringMap<>(EARLY_EVENT_TTL_MS, MAX_EARLY_EVENTS);
+    /** Time after which no answer is given because the process is about to end, in ms on the scheduler's clock. */
     private double answerBy = Double.POSITIVE_INFINITY;
 
     /**
-     * The end of a session that is not known here: after a start a server tells of it on its first connection,
-     * which may be before this node is told of the session.
+     * The end of a session that is not known here. After a start, a server reports the end on its first connection,
+     * possibly before the session is handed over to this node.
      */
     private record EarlyEnd(String server, Outcome outcome) {}
 
     /**
-     * A host; {@code module} makes the module for its actions.
+     * Creates a host; {@code module} creates the module for its actions.
      *
-     * @param trace takes what the module is told and asks for
-     * @param anyLink a viewers' connection that can take a release, or null where there is none
+     * @param trace records the module's events and actions
+     * @param anyLink supplies a client connection for releases, or null when there is none
      */
     public SessionHost(
             SessionControl.Settings settings,
@@ -90,8 +93,8 @@
         executor = new SerialExecutor(scheduler, log);
         releases = new ClientReleases(executor, trace, anyLink);
         limits = new SetUpLimits(settings);
-        established = new EstablishedSessions(servers);
-        control = module.apply(new ModuleActions(this, byName::get, log));
+        establishedSessions = new EstablishedSessions(servers);
+        control = module.apply(new ModuleActions(this, sessionsByName::get, log));
     }
 
     /** Starts the module. */
@@ -99,16 +102,16 @@
         executor.execute(control::start);
     }
 
-    /** A list of servers came. */
+    /** Applies a list of servers. */
     public void updateServers(ListKind kind, List<Server> list) {
         if (kind == ListKind.WHOLE || kind == ListKind.KEPT) {
-            listed.clear();
+            listedServers.clear();
         }
         for (Server server : list) {
             if (server.state() == ServerState.GONE) {
-                listed.remove(server.id());
+                listedServers.remove(server.id());
             } else {
-                listed.add(server.id());
+                listedServers.add(server.id());
             }
         }
         executor.execute(now -> control.servers(now, kind, list));
@@ -116,9 +119,9 @@
 
     // ---- viewers
 
-    /** True when the settings have such a class, cells, copies and a rung as this asks for. */
+    /** True when the settings have the class, cells, copies and top rung of a set-up. */
     public boolean isAllowed(SetUp setUp) {
-        return limits.allow(setUp);
+        return limits.allows(setUp);
     }
 
     /** True while a session has this id. */
@@ -133,99 +136,100 @@
     }
 
     /**
-     * A possible set-up under a new id.
+     * Takes a set-up that is allowed, under a new id.
      *
-     * @param waitMs time left until the viewer gives up
+     * @param waitMs time until the viewer gives up, in ms
      */
     public void setUp(SetUp setUp, ClientLink link, double waitMs) {
-        double leftMs = Math.min(waitMs, answerBy - scheduler.now());
-        NodeSession session = new NodeSession(setUp, link, limits.once(setUp.className()));
+        double remainingMs = Math.min(waitMs, answerBy - scheduler.now());
+        NodeSession session = new NodeSession(setUp, link, limits.runsOnce(setUp.className()));
         sessions.put(session.id(), session);
-        byName.put(session.name(), session);
-        trace.info("request", "id", session.name(), "class", setUp.className(), "left", leftMs);
-        session.deadline = executor.schedule(leftMs + NET_MS, now -> overdue(now, session));
+        sessionsByName.put(session.name(), session);
+        trace.info("request", "id", session.name(), "class", setUp.className(), "remainingMs", remainingMs);
+        session.deadlineTimer =
+                executor.schedule(remainingMs + DEADLINE_GUARD_MS, now -> failIfAnswerPending(now, session));
         executor.execute(now -> {
             if (session.state().isAnswerPending()) {
-                control.request(now, request(session, leftMs));
+                control.request(now, moduleRequest(session, remainingMs));
             }
         });
     }
 
-    /** A session that plays at a server already. */
+    /** Takes over a session that already plays at a server. */
     public void takeOver(SetUp setUp, ClientLink link) {
-        NodeSession session = new NodeSession(setUp, link, limits.once(setUp.className()));
+        NodeSession session = new NodeSession(setUp, link, limits.runsOnce(setUp.className()));
         session.server = setUp.attributes().currentServer();
         trace.info("takenOver", "id", session.name(), "server", session.server);
         session.state().apply(Event.SEND);
         session.state().apply(Event.PLAYS);
         sessions.put(session.id(), session);
-        byName.put(session.name(), session);
-        Request request = request(session, setUp.waitMs());
-        session.settled();
-        established.add(session, scheduler.now());
+        sessionsByName.put(session.name(), session);
+        Request request = moduleRequest(session, setUp.waitMs());
+        session.clearSetUp();
+        establishedSessions.add(session, scheduler.now());
         executor.execute(now -> control.takenOver(now, request, session.server));
-        EarlyEnd ended = endedEarly.remove(scheduler.now(), session.name());
-        if (ended != null && ended.server().equals(session.server)) {
-            onSessionEnded(session.server, session.id(), ended.outcome(), null);
+        EarlyEnd earlyEnd = earlyEnds.remove(scheduler.now(), session.name());
+        if (earlyEnd != null && earlyEnd.server().equals(session.server)) {
+            onSessionEnded(session.server, session.id(), earlyEnd.outcome(), null);
         } else if (takeEarlyRelease(session.id())) {
-            // Its viewer ended it while no node held it: its server has not heard of that.
+            // The viewer ended the session while no node held it, so its server was not told.
             onClientRelease(session.id());
-        } else if (!listed.contains(session.server)) {
-            executor.schedule(UNLISTED_MS, now -> unlisted(session));
+        } else if (!listedServers.contains(session.server)) {
+            executor.schedule(LISTING_DELAY_MS, now -> endIfUnlisted(session));
         }
     }
 
-    /** True, once, when its viewer released it before it was known here: no answer is owed. */
+    /** Returns true once when the viewer released a session before it was known here: no answer is pending then. */
     public boolean takeEarlyRelease(long id) {
-        return releasedEarly.remove(scheduler.now(), HexFormat.of().toHexDigits(id)) != null;
+        return earlyReleases.remove(scheduler.now(), HexFormat.of().toHexDigits(id)) != null;
     }
 
-    /** Guards against sessions said to play at servers that don't exist: they would stand for good. */
-    private void unlisted(NodeSession session) {
-        if (session.state().isEstablished() && !listed.contains(session.server)) {
+    /** Ends a session that was handed over with a server that does not exist: nothing else would ever end it. */
+    private void endIfUnlisted(NodeSession session) {
+        if (session.state().isEstablished() && !listedServers.contains(session.server)) {
             onSessionEnded(session.server, session.id(), Outcome.RESET, null);
         }
     }
 
-    private Request request(NodeSession session, double leftMs) {
-        SetUp asked = session.setUp();
-        boolean back = moved.returns(session.viewer(), scheduler.now());
+    private Request moduleRequest(NodeSession session, double remainingMs) {
+        SetUp setUp = session.setUp();
+        boolean returning = movedSessions.takeReturning(session.viewer(), scheduler.now());
         return new Request(
                 session.name(),
-                asked.className(),
+                setUp.className(),
                 null,
                 session.viewer(),
-                asked.title(),
-                leftMs,
-                asked.attributes().home(),
-                asked.attributes().copies(),
-                asked.attributes().top(),
-                back,
-                back || asked.attributes().returning());
+                setUp.title(),
+                remainingMs,
+                setUp.attributes().home(),
+                setUp.attributes().copies(),
+                setUp.attributes().top(),
+                returning,
+                returning || setUp.attributes().returning());
     }
 
-    /** A viewer gives a set-up up or ends its session; true when there was one. */
+    /** Handles the release of a set-up or a session by its viewer; true when the id is known. */
     public boolean onClientRelease(long id) {
         NodeSession session = sessions.get(id);
-        trace.info("viewerReleases", "id", session == null ? id : session.name(), "known", session != null);
+        trace.info("clientRelease", "id", session == null ? id : session.name(), "known", session != null);
         if (session == null) {
-            releasedEarly.put(scheduler.now(), HexFormat.of().toHexDigits(id), true);
+            earlyReleases.put(scheduler.now(), HexFormat.of().toHexDigits(id), true);
             return false;
         }
         if (session.state().isAnswerPending()) {
             withdraw(session);
         } else {
             String server = session.server;
-            over(session);
+            endSession(session);
             servers.release(server, id);
-            // A give-up may have crossed the answer: the viewer then holds a session that is over.
-            releases.tell(session, ReleaseReason.OVER);
+            // The release may have crossed the answer: the viewer then holds a session that has ended.
+            releases.sendUntilAcknowledged(session, ReleaseReason.OVER);
             executor.execute(now -> control.gone(now, session.name()));
         }
         return true;
     }
 
-    /** A viewers' connection ended: the set-ups open on it are given up. */
+    /** Withdraws the set-ups that were open on a client connection that has ended. */
     public void onClientConnectionEnded(List<Long> ids) {
         for (long id : ids) {
             NodeSession session = sessions.get(id);
@@ -240,29 +244,29 @@
         if (session.attempt != null) {
             servers.giveUp(session.attempt);
         }
-        forget(session);
+        removeSession(session);
         session.link.requestWithdrawn(session.id());
         executor.execute(now -> control.gone(now, session.name()));
     }
 
-    /** A viewers' connection can take what is owed. */
+    /** Sends pending releases on a client connection that can take them. */
     public void onClientConnectionReady(ClientLink link) {
-        releases.ready(link);
+        releases.sendDue(link);
     }
 
-    /** A viewer has heard the release of its session; true when that was owed. */
+    /** Handles the acknowledgement of a release by a viewer; true when that release was pending. */
     public boolean onReleaseAcknowledged(long id) {
-        return releases.heard(id);
+        return releases.acknowledge(id);
     }
 
     // ---- servers
 
-    /** Whole milliseconds until an attempt is given up, 1 at least. */
+    /** Time until an attempt is given up, in whole ms, at least 1. */
     public long remainingMs(Attempt attempt) {
-        return Math.max(1, (long) (attempt.until() - scheduler.now()));
+        return Math.max(1, (long) (attempt.deadline() - scheduler.now()));
     }
 
-    /** An attempt was answered: the session stands. */
+    /** Handles the answer to an attempt: the session is established. */
     public void onAnswer(Attempt attempt, byte[] description) {
         NodeSession session = attempt.owner();
         if (session.attempt != attempt) {
@@ -270,33 +274,33 @@
         }
         session.state().apply(Event.PLAYS);
         session.server = attempt.server();
-        double took = scheduler.now() - session.sentAt;
-        trace.info("plays", "id", session.name(), "server", session.server, "took", took);
-        // The answer goes out before anything else is done: the viewer's time runs.
+        double tookMs = scheduler.now() - session.sentAt;
+        trace.info("plays", "id", session.name(), "server", session.server, "tookMs", tookMs);
+        // The answer is sent first, since the viewer's deadline is running.
         session.link.sendAnswer(session.id(), description);
-        session.settled();
-        established.add(session, scheduler.now());
-        executor.execute(now -> control.playing(now, session.name(), session.server, took));
+        session.clearSetUp();
+        establishedSessions.add(session, scheduler.now());
+        executor.execute(now -> control.playing(now, session.name(), session.server, tookMs));
     }
 
-    /** An attempt ended before its answer. */
+    /** Handles the end of an attempt without an answer. */
     public void onAttemptEnded(Attempt attempt, Outcome outcome, Load load) {
         NodeSession session = attempt.owner();
         if (session.attempt != attempt) {
             return;
         }
-        session.attemptOver();
+        session.clearAttempt();
         session.state().attemptEnded(outcome);
         trace.info("attemptEnded", "id", session.name(), "server", attempt.server(), "outcome", outcome, "load", load);
         executor.execute(now -> control.ended(
                 now, session.name(), !session.state().isAnswerPending(), outcome, attempt.server(), load));
     }
 
-    /** A session that stood has ended at its server. */
+    /** Handles the end of an established session at its server. */
     public void onSessionEnded(String server, long id, Outcome outcome, Load load) {
         NodeSession session = sessions.get(id);
         trace.info(
-                "over",
+                "sessionEnded",
                 "id",
                 session == null ? id : session.name(),
                 "server",
@@ -305,33 +309,33 @@
                 outcome,
                 "known",
                 session != null);
-        moved.remove(id);
+        movedSessions.remove(id);
         if (session == null && outcome != Outcome.CANCELLED) {
-            endedEarly.put(scheduler.now(), HexFormat.of().toHexDigits(id), new EarlyEnd(server, outcome));
+            earlyEnds.put(scheduler.now(), HexFormat.of().toHexDigits(id), new EarlyEnd(server, outcome));
         }
         if (session == null || !session.state().isEstablished() || !server.equals(session.server)) {
             return;
         }
-        over(session);
+        endSession(session);
         if (outcome != Outcome.CANCELLED) {
-            releases.tell(session, outcome == Outcome.OK ? ReleaseReason.OVER : ReleaseReason.CUT);
+            releases.sendUntilAcknowledged(session, outcome == Outcome.OK ? ReleaseReason.OVER : ReleaseReason.CUT);
         }
         executor.execute(now -> control.ended(now, session.name(), true, outcome, server, load));
     }
 
-    /** A server is gone with all that stood there. */
+    /** Ends all sessions at a server that is gone. */
     public void onServerLost(String server) {
         onServerRestarted(server, Double.POSITIVE_INFINITY);
     }
 
-    /** A server started anew at a time, ms on the scheduler's clock: what stood there before is gone. */
+    /** Ends the sessions that a server held before its last start, in ms on the scheduler's clock. */
     public void onServerRestarted(String server, double startedAt) {
-        for (NodeSession session : established.at(server, startedAt)) {
+        for (NodeSession session : establishedSessions.establishedBefore(server, startedAt)) {
             onSessionEnded(server, session.id(), Outcome.RESET, null);
         }
     }
 
-    /** A note about a session that stands. */
+    /** Passes on a note of a server about an established session. */
     public void onNote(String server, long id, NoteKind kind, double value) {
         NodeSession session = sessions.get(id);
         if (session != null && server.equals(session.server)) {
@@ -343,66 +347,69 @@
         }
     }
 
-    /** Requests whose answer is owed. */
+    /** Number of requests whose answer is pending. */
     public int openRequests() {
         return (int) sessions.values().stream()
-                .filter(s -> s.state().isAnswerPending())
+                .filter(session -> session.state().isAnswerPending())
                 .count();
     }
 
-    /** True while a client has yet to be told of the end of a session, or may have to be. */
+    /** True while the release of a session to its client is pending, or may become so because the session moves. */
     public boolean hasPendingReleases() {
-        return moved.size() > 0 || releases.size() > 0;
+        return movedSessions.size() > 0 || releases.pendingCount() > 0;
     }
 
-    /** Moved sessions whose server has yet to say that they are over, or to be told so. */
+    /** Number of moved sessions whose end the server has not reported and whose release was not sent. */
     public int movingSessions() {
-        return moved.size();
+        return movedSessions.size();
     }
 
-    /** Fails those of these requests that are still open. */
+    /** Fails the given requests whose answer is pending. */
     public void failOpenRequests(List<Long> ids) {
         executor.execute(now -> ids.forEach(id -> {
             NodeSession session = sessions.get(id);
             if (session != null) {
-                overdue(now, session);
+                failIfAnswerPending(now, session);
             }
         }));
     }
 
     /**
-     * The process ends soon: every request has its answer within {@code ms}, and no attempt is given longer.
+     * Prepares for the end of the process: every request is answered within {@code ms}, and no attempt lasts longer.
      */
     public void answerWithin(double ms) {
         answerBy = scheduler.now() + ms;
-        executor.schedule(ms, now -> List.copyOf(sessions.values()).forEach(session -> overdue(now, session)));
+        executor.schedule(
+                ms, now -> List.copyOf(sessions.values()).forEach(session -> failIfAnswerPending(now, session)));
     }
 
-    /** Sessions held, open or standing. */
+    /** Number of sessions, open or established. */
     public int sessionCount() {
         return sessions.size();
     }
 
-    // ---- within
+    // ---- internal
 
-    private void over(NodeSession session) {
+    private void endSession(NodeSession session) {
         session.state().apply(Event.END);
-        forget(session);
-        established.remove(session);
+        removeSession(session);
+        establishedSessions.remove(session);
     }
 
-    private void forget(NodeSession session) {
-        session.settled();
+    private void removeSession(NodeSession session) {
+        session.clearSetUp();
         sessions.remove(session.id());
-        byName.remove(session.name());
+        sessionsByName.remove(session.name());
     }
 
-    private static Outcome timedOut(boolean unsent) {
+    private static Outcome timeOutOutcome(boolean unsent) {
         return OutcomeTable.outcomeOf(unsent ? Stage.CONNECTING : Stage.WRITTEN, OutcomeTable.Event.TIMED_OUT);
     }
 
-    /** The net under the module: an answer that it still owes is given, and an attempt that is out ends. */
-    private void overdue(double now, NodeSession session) {
+    /**
+     * Fails a request that the module has not answered in time, and gives up its open attempt; no effect once answered.
+     */
+    private void failIfAnswerPending(double now, NodeSession session) {
         if (!session.state().isAnswerPending()) {
             return;
         }
@@ -413,84 +420,88 @@
                 "phase",
                 session.state().phase());
         if (session.attempt != null) {
-            Attempt out = session.attempt;
-            boolean unsent = servers.giveUp(out);
-            session.attemptOver();
-            session.state().attemptEnded(timedOut(unsent));
+            Attempt attempt = session.attempt;
+            boolean unsent = servers.giveUp(attempt);
+            session.clearAttempt();
+            session.state().attemptEnded(timeOutOutcome(unsent));
         }
-        answer(session, Event.FAIL, ReleaseReason.FAILED, 0);
+        sendFinalAnswer(session, Event.FAIL, ReleaseReason.FAILED, 0);
         control.gone(now, session.name());
     }
 
     /**
-     * A moved session of which the server said nothing: it may have ended before the move, with its server.
-     * Its viewer is owed a release then, and the server one if it lives.
+     * Releases a moved session whose end the server has not reported: the session may have ended with its server before
+     * the move. The viewer gets a release, and so does the server if it is alive.
      */
-    private void unmoved(NodeSession session, String server) {
-        if (moved.remove(session.id())) {
+    private void releaseUnconfirmedMove(NodeSession session, String server) {
+        if (movedSessions.remove(session.id())) {
             servers.release(server, session.id());
-            releases.tell(session, ReleaseReason.CUT);
+            releases.sendUntilAcknowledged(session, ReleaseReason.CUT);
         }
     }
 
-    /** Gives a request its final answer. */
-    void answer(NodeSession session, Event event, ReleaseReason end, double stayAwayMs) {
-        trace.info("answer", "id", session.name(), "end", end, "stayAway", stayAwayMs);
+    /** Ends a request with a release as its final answer. */
+    void sendFinalAnswer(NodeSession session, Event event, ReleaseReason reason, double stayAwayMs) {
+        trace.info("answer", "id", session.name(), "reason", reason, "stayAwayMs", stayAwayMs);
         session.state().apply(event);
-        forget(session);
-        session.link.sendRelease(session.id(), end, stayAwayMs);
+        removeSession(session);
+        session.link.sendRelease(session.id(), reason, stayAwayMs);
     }
 
-    // ---- what the module asks for
+    // ---- actions of the module
 
-    /** Sends an attempt; {@code wantedUntil}: when the module gives it up, ms on the scheduler's clock. */
-    void send(NodeSession session, double wantedUntil, String server) {
-        double until = Math.min(wantedUntil, answerBy);
+    /**
+     * Sends an attempt.
+     *
+     * @param moduleDeadline time at which the module gives the attempt up, in ms on the scheduler's clock
+     */
+    void send(NodeSession session, double moduleDeadline, String server) {
+        double deadline = Math.min(moduleDeadline, answerBy);
         session.state().apply(Event.SEND);
         session.sentAt = scheduler.now();
         trace.info("send", "id", session.name(), "server", server, "rung", session.rung);
-        Attempt attempt = new Attempt(session, server, until);
+        Attempt attempt = new Attempt(session, server, deadline);
         session.attempt = attempt;
-        session.giveUp = executor.schedule(until - session.sentAt, now -> due(attempt));
+        session.giveUpTimer = executor.schedule(deadline - session.sentAt, now -> onAttemptDue(attempt));
         servers.setUp(attempt);
     }
 
-    /** Due, but what came in time may lie unread: one more round of the loop reads it. */
-    private void due(Attempt attempt) {
+    /** Delays the time-out by one iteration of the event loop, to read an answer that has arrived in time. */
+    private void onAttemptDue(Attempt attempt) {
         if (attempt.owner().attempt == attempt) {
-            attempt.owner().giveUp = executor.schedule(UNREAD_MS, now -> timeOut(attempt));
+            attempt.owner().giveUpTimer = executor.schedule(LOOP_ITERATION_MS, now -> timeOutAttempt(attempt));
         }
     }
 
-    private void timeOut(Attempt attempt) {
+    private void timeOutAttempt(Attempt attempt) {
         if (attempt.owner().attempt == attempt) {
-            // The give-up leaves before any further attempt of the session can.
-            onAttemptEnded(attempt, timedOut(servers.giveUp(attempt)), null);
+            // The give-up is sent before any further attempt of the session.
+            onAttemptEnded(attempt, timeOutOutcome(servers.giveUp(attempt)), null);
         }
     }
 
-    /** Tells the server that holds a session, or is being asked to, of its rung. */
-    void rung(NodeSession session) {
+    /** Sends the rung of a session to the server that holds the session or its open attempt. */
+    void sendRung(NodeSession session) {
         String server = session.attempt != null ? session.attempt.server() : session.server;
         servers.setRung(server, session.id(), session.rung);
     }
 
-    /** Ends a session that stands; its client comes again. */
+    /** Moves an established session: it ends here and its client sends a new set-up. */
     void move(NodeSession session) {
         String server = session.server;
-        over(session);
-        moved.add(session, scheduler.now());
+        endSession(session);
+        movedSessions.add(session, scheduler.now());
         trace.info("move", "id", session.name(), "server", server);
         ClientLink link = releases.linkTo(session);
         if (link != null) {
             link.sendMove(session.id());
         }
-        executor.schedule(link == null ? 0 : MOVED_MS, now -> unmoved(session, server));
+        executor.schedule(link == null ? 0 : MOVE_CONFIRMATION_MS, now -> releaseUnconfirmedMove(session, server));
         executor.execute(now -> control.ended(now, session.name(), true, Outcome.CANCELLED, server, null));
     }
 
-    /** Tells the module of a timer that it sets now. */
-    void timer(String token, double delayMs) {
+    /** Schedules a timer of the module. */
+    void scheduleTimer(String token, double delayMs) {
         executor.schedule(delayMs, now -> control.timer(now, token));
     }
 }
--- a/node/src/main/java/spanrill/node/session/SetUpLimits.java
+++ b/node/src/main/java/spanrill/node/session/SetUpLimits.java
@@ -5,20 +5,20 @@
 import spanrill.SessionControl;
 import spanrill.wire.platform.SetUp;
 
-/** What the settings allow a set-up to ask for. */
+/** The range of values that the settings allow in a set-up. */
 final class SetUpLimits {
     private final Map<String, Boolean> onceByClass = new HashMap<>();
     private final int cells;
     private final int rungs;
 
     SetUpLimits(SessionControl.Settings settings) {
-        settings.classes().forEach(c -> onceByClass.put(c.name(), c.once()));
+        settings.classes().forEach(classSettings -> onceByClass.put(classSettings.name(), classSettings.once()));
         cells = settings.cells();
         rungs = settings.rungKb().size();
     }
 
-    /** True when the settings have such a class, cells, copies and a rung as this asks for. */
-    boolean allow(SetUp setUp) {
+    /** True when the settings have the class, cells, copies and top rung of a set-up. */
+    boolean allows(SetUp setUp) {
         return onceByClass.containsKey(setUp.className())
                 && setUp.attributes().home() < cells
                 && setUp.attributes().copies() >= 1
@@ -26,8 +26,8 @@
                 && setUp.attributes().top() < rungs;
     }
 
-    /** True when a set-up of this class may not run twice. */
-    boolean once(String className) {
+    /** True when a set-up of this class may run only once. */
+    boolean runsOnce(String className) {
         return onceByClass.get(className);
     }
 
--- a/node/src/main/java/spanrill/node/session/package-info.java
+++ b/node/src/main/java/spanrill/node/session/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The host of the module in a front node: sessions, attempts, time-outs, and who is owed a release. Neither
- * sockets nor a clock; all calls come from one thread.
+ * The host of the placement module in a front node: sessions, attempts, time-outs and pending releases. The package
+ * uses neither sockets nor a clock of its own, and all calls are made on one thread.
  */
 package spanrill.node.session;
--- a/node/src/test/java/spanrill/node/EventRaceTest.java
+++ b/node/src/test/java/spanrill/node/EventRaceTest.java
@@ -28,22 +28,22 @@
 import spanrill.wire.platform.Parameter;
 
 /**
- * Two events that cross, on real connections, in the bad order every time: the node's loop is held until
- * both lie unread, or a peer holds back until it is told. The list of crossings is in docs/node.md.
+ * Tests races of two events on real connections, always in the adverse order: the node's event loop is blocked until
+ * both events are unread, or a peer waits for the test. The races are listed in docs/node.md.
  */
 class EventRaceTest extends FrontNodeTestBase {
-    private static final long NOTHING_MS = 250;
+    private static final long SILENCE_MS = 250;
 
-    /** Long enough for a connection that comes up late to do so. */
+    /** The connect time-out is long enough for a connection that is established late. */
     @Override
     String adjustConfig(String json) {
         return json.replace("\"connect_timeout\":300.0", "\"connect_timeout\":2500.0");
     }
 
-    /** Both servers have connections that are open and free. */
-    private void connectBoth() throws Exception {
-        List<ScriptedServer.ReceivedMessage> held = new CopyOnWriteArrayList<>();
-        onSetUpAtBoth((wire, message) -> held.add(new ScriptedServer.ReceivedMessage(wire, message)));
+    /** Makes the node open several connections to both servers and leaves them idle. */
+    private void openConnectionsToBoth() throws Exception {
+        List<ScriptedServer.ReceivedMessage> setUps = new CopyOnWriteArrayList<>();
+        onSetUpAtBoth((connection, message) -> setUps.add(new ScriptedServer.ReceivedMessage(connection, message)));
         TestConnection viewer = connectViewer();
         for (int i = 0; i < 8; i++) {
             sendSetUp(viewer, "paid");
@@ -51,8 +51,8 @@
         for (int i = 0; i < 8; i++) {
             assertNotNull(awaitSetUpAtServers());
         }
-        for (ScriptedServer.ReceivedMessage got : held) {
-            firstServer.sendAnswer(got.connection(), got.message());
+        for (ScriptedServer.ReceivedMessage received : setUps) {
+            firstServer.sendAnswer(received.connection(), received.message());
         }
         for (int i = 0; i < 8; i++) {
             awaitAnswer(viewer, TIMEOUT_MS);
@@ -60,95 +60,98 @@
         onSetUpAtBoth(firstServer::sendAnswer);
     }
 
-    private Message nextAt(ScriptedServer server, MessageType type) throws InterruptedException {
-        ScriptedServer.ReceivedMessage got = server.awaitMessage(type, NOTHING_MS);
-        return got == null ? null : got.message();
+    private Message awaitMessageAt(ScriptedServer server, MessageType type) throws InterruptedException {
+        ScriptedServer.ReceivedMessage received = server.awaitMessage(type, SILENCE_MS);
+        return received == null ? null : received.message();
     }
 
-    private void noSetUpArrives() throws InterruptedException {
-        assertNull(nextAt(firstServer, MessageType.SET_UP));
-        assertNull(nextAt(secondServer, MessageType.SET_UP));
+    private void verifyNoSetUpArrives() throws InterruptedException {
+        assertNull(awaitMessageAt(firstServer, MessageType.SET_UP));
+        assertNull(awaitMessageAt(secondServer, MessageType.SET_UP));
     }
 
-    // ---- clients that have gone
+    // ---- clients that leave
 
     @Test
-    void aCloseUnreadBehindItsSetUpLeavesNoAttempt() throws Exception {
-        connectBoth();
+    void setUpIsNotAttemptedWhenCloseIsUnreadBehindIt() throws Exception {
+        openConnectionsToBoth();
         TestConnection viewer = connectViewer();
         whileLoopIsBlocked(() -> {
             sendSetUp(viewer, "free");
             viewer.close();
         });
-        noSetUpArrives();
+        verifyNoSetUpArrives();
     }
 
     @Test
-    void aCancelUnreadBehindItsSetUpLeavesNoAttempt() throws Exception {
-        connectBoth();
+    void setUpIsNotAttemptedWhenReleaseIsUnreadBehindIt() throws Exception {
+        openConnectionsToBoth();
         TestConnection viewer = connectViewer();
         whileLoopIsBlocked(() -> {
             long id = sendSetUp(viewer, "free");
             viewer.send(new Message(MessageType.RELEASE, id).withCause(16));
         });
-        noSetUpArrives();
+        verifyNoSetUpArrives();
     }
 
-    /** A server's proof lies unread in front of the close: the further attempt would be for nobody. */
+    /** The refusal, which proves that the set-up never ran, is unread before the close: a retry would serve nobody. */
     @Test
-    void aCloseUnreadBehindAProofLeavesNoFurtherAttempt() throws Exception {
-        connectBoth();
-        onSetUpAtBoth((wire, message) -> {});
+    void refusedSetUpIsNotRetriedWhenCloseIsUnreadBehindRefusal() throws Exception {
+        openConnectionsToBoth();
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
         whileLoopIsBlocked(() -> {
             judge.nonExecutionProved(id);
-            got.connection().send(new Message(MessageType.RELEASE, id).withCause(34));
+            received.connection().send(new Message(MessageType.RELEASE, id).withCause(34));
             viewer.close();
         });
-        noSetUpArrives();
+        verifyNoSetUpArrives();
     }
 
-    /** On two connections the cancel may be read first. */
+    /** With two connections, the release may be read before the set-up. */
     @Test
-    void aCancelReadBeforeItsSetUpLeavesNoAttempt() throws Exception {
+    void setUpIsNotAttemptedWhenReleaseIsReadFirst() throws Exception {
         TestConnection first = connectViewer();
         TestConnection second = connectViewer();
         long id = lastSessionId + 1;
         second.send(new Message(MessageType.RELEASE, id).withCause(16));
         second.send(new Message(MessageType.TEST, 1).withCause(0));
-        assertEquals(MessageType.TEST_RESULT, second.awaitMessage(TIMEOUT_MS).type(), "the release was read");
+        assertEquals(
+                MessageType.TEST_RESULT,
+                second.awaitMessage(TIMEOUT_MS).type(),
+                "the release was read before the set-up");
         sendSetUp(first, "free");
-        noSetUpArrives();
+        verifyNoSetUpArrives();
         assertEquals(41, first.awaitMessage(TIMEOUT_MS).cause());
         establishSession(first, "free");
     }
 
-    /** After a start: its viewer ended it while nobody held it. */
+    /** After a start, the viewer may have ended the session while no node held it. */
     @Test
-    void aReleaseReadBeforeTheSessionIsTakenOverReachesItsServer() throws Exception {
+    void releaseReadBeforeTakeOverReachesServer() throws Exception {
         TestConnection viewer = connectViewer();
         viewer.send(new Message(MessageType.RELEASE, 7).withCause(16));
         judge.requestSent(7, "free");
         viewer.send(setUpMessage(7, "free", ";at:s-1"));
-        Message release = nextAt(firstServer, MessageType.RELEASE);
+        Message release = awaitMessageAt(firstServer, MessageType.RELEASE);
         assertNotNull(release);
         assertEquals(7, release.session());
         assertEquals(0, node.sessionCount());
     }
 
-    /** The connection that asked must not keep the number: it would count as waited on for good. */
+    /** The connection of the set-up must not keep the id as an open request: it could never be evicted. */
     @Test
-    void aCancelOnAnotherConnectionFreesItsOwn() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void releaseOnAnotherConnectionLetsOwnConnectionBeEvicted() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection first = connectViewer();
         long id = sendSetUp(first, "free");
         assertNotNull(awaitSetUpAtServers());
         TestConnection second = connectViewer();
         second.send(new Message(MessageType.RELEASE, id).withCause(16));
         assertNotNull(awaitAtServers(MessageType.RELEASE));
-        // More than there is room for: the oldest on which nobody waits makes place.
+        // More connections than the limit: the oldest one without an open request is evicted.
         for (int i = 0; i < 130; i++) {
             TestConnection next = connectViewer();
             next.send(new Message(MessageType.TEST, 1).withCause(0));
@@ -157,18 +160,18 @@
         assertTrue(first.awaitEnd(TIMEOUT_MS));
     }
 
-    /** Two tasks are held one after the other, so that the look falls due behind bytes that nobody read. */
+    /** Two tasks block the loop one after the other, so that the idle check is due while a set-up is unread. */
     @Test
-    void aSetUpUnreadWhenItsConnectionSeemsIdleIsServed() throws Exception {
+    void unreadSetUpIsServedWhenIdleCheckIsDue() throws Exception {
         TestConnection viewer = connectViewer();
         LoopBlocker first = new LoopBlocker();
         LoopBlocker second = new LoopBlocker();
         node.eventLoop().execute(first);
         first.awaitBlocked();
         node.eventLoop().execute(second);
-        // By then a look at idle connections is due, and comes behind the second task.
-        CountDownLatch later = new CountDownLatch(1);
-        assertFalse(later.await(1600, TimeUnit.MILLISECONDS));
+        // The check for idle connections is due by then and runs after the second task.
+        CountDownLatch never = new CountDownLatch(1);
+        assertFalse(never.await(1600, TimeUnit.MILLISECONDS));
         first.unblock();
         second.awaitBlocked();
         long id = sendSetUp(viewer, "free");
@@ -178,206 +181,220 @@
 
     // ---- connections to servers
 
-    /** A close of the server's that lies unread behind a paid set-up: the set-up goes on another. */
+    /** The server's close is unread when the paid set-up is read: the set-up is written to another connection. */
     @Test
-    void aPaidSetUpIsNotWrittenToAConnectionThatItsServerHasClosed() throws Exception {
-        connectBoth();
+    void paidSetUpIsNotWrittenToConnectionClosedByServer() throws Exception {
+        openConnectionsToBoth();
         TestConnection viewer = connectViewer();
         whileLoopIsBlocked(() -> {
             sendSetUp(viewer, "paid");
             firstServer.closeConnections();
             secondServer.closeConnections();
         });
-        // The sessions that stood lost nothing: their connections were closed in order.
+        // Established sessions are not affected, since their connections were closed in order.
         assertEquals(MessageType.ANSWER, awaitAnswer(viewer, TIMEOUT_MS).type());
     }
 
     /**
-     * A drain that is read behind requests: attempts that were about to leave go elsewhere, and those made while
-     * the others are being sent are sent too.
+     * A drain is read after requests: attempts that are not sent yet go to the other server, and attempts that are made
+     * while others are being sent are sent as well.
      */
     @Test
-    void attemptsMadeWhileOthersAreBeingSentLeaveToo() throws Exception {
-        connectBoth();
-        ScriptedDiscovery.StreamRequest asked = discovery.awaitRequest(TIMEOUT_MS);
+    void attemptsMadeWhileOthersAreSentAreSentToo() throws Exception {
+        openConnectionsToBoth();
+        ScriptedDiscovery.StreamRequest request = discovery.awaitRequest(TIMEOUT_MS);
         TestConnection viewer = connectViewer();
         whileLoopIsBlocked(() -> {
             for (int i = 0; i < 12; i++) {
                 sendSetUp(viewer, "paid");
             }
-            asked.sendEvent(2, TestConfig.event(2, false, firstServer.listEntry("DRAINING")));
+            request.sendEvent(2, TestConfig.event(2, false, firstServer.listEntry("DRAINING")));
         });
         for (int i = 0; i < 12; i++) {
             assertEquals(MessageType.ANSWER, awaitAnswer(viewer, TIMEOUT_MS).type());
         }
-        assertNull(nextAt(firstServer, MessageType.SET_UP), "nothing new to the server that drains");
+        assertNull(awaitMessageAt(firstServer, MessageType.SET_UP), "no new set-up to a draining server");
     }
 
-    /** The connection comes up 1 s late, when the server may get nothing new any more. */
+    /** The connection is established 1 s late, when the server must not get new set-ups any more. */
     @Test
-    void whatWaitsForAConnectionIsTakenBackWhenItsServerDrains() throws Exception {
-        FullBacklogServer late = closeAfterTest(new FullBacklogServer());
-        ScriptedDiscovery.StreamRequest asked = discovery.awaitRequest(TIMEOUT_MS);
-        asked.sendEvent(
+    void setUpWaitingForConnectionGoesElsewhereWhenServerDrains() throws Exception {
+        FullBacklogServer lateServer = closeAfterTest(new FullBacklogServer());
+        ScriptedDiscovery.StreamRequest request = discovery.awaitRequest(TIMEOUT_MS);
+        request.sendEvent(
                 2,
                 TestConfig.event(
                         2,
                         false,
                         firstServer.listEntry("DRAINING"),
                         secondServer.listEntry("DRAINING"),
-                        TestConfig.member("s-3", late.port(), "SERVING")));
+                        TestConfig.member("s-3", lateServer.port(), "SERVING")));
         TestConnection viewer = connectViewer();
         awaitLoopIterations();
         long id = sendSetUp(viewer, "paid");
         awaitLoopIterations();
-        asked.sendEvent(
+        request.sendEvent(
                 3,
                 TestConfig.event(
-                        3, false, TestConfig.member("s-3", late.port(), "DRAINING"), firstServer.listEntry("SERVING")));
-        late.open();
+                        3,
+                        false,
+                        TestConfig.member("s-3", lateServer.port(), "DRAINING"),
+                        firstServer.listEntry("SERVING")));
+        lateServer.open();
         Message answer = awaitAnswer(viewer, TIMEOUT_MS);
         assertEquals(id, answer.session());
-        assertEquals(MessageType.ANSWER, answer.type(), "by the other, at once");
-        assertNull(late.received.poll(1500, TimeUnit.MILLISECONDS), "nothing new to a server that drains");
+        assertEquals(MessageType.ANSWER, answer.type(), "answered by the other server at once");
+        assertNull(lateServer.received.poll(1500, TimeUnit.MILLISECONDS), "no new set-up to a draining server");
     }
 
-    /** A connection given up here while it comes up is no refusal: the server lives. */
+    /** A connect aborted by the node is no refusal: the server may be alive. */
     @Test
-    void aConnectionGivenUpWhileItComesUpEndsNoSession() throws Exception {
-        FullBacklogServer late = closeAfterTest(new FullBacklogServer());
-        ScriptedDiscovery.StreamRequest asked = discovery.awaitRequest(TIMEOUT_MS);
-        asked.sendEvent(2, TestConfig.event(2, false, TestConfig.member("s-3", late.port(), "SERVING")));
+    void connectAbortedByNodeEndsNoSession() throws Exception {
+        FullBacklogServer lateServer = closeAfterTest(new FullBacklogServer());
+        ScriptedDiscovery.StreamRequest request = discovery.awaitRequest(TIMEOUT_MS);
+        request.sendEvent(2, TestConfig.event(2, false, TestConfig.member("s-3", lateServer.port(), "SERVING")));
         TestConnection viewer = connectViewer();
         awaitLoopIterations();
         judge.requestSent(7, "free");
         viewer.send(setUpMessage(7, "free", ";at:s-3"));
         awaitLoopIterations();
-        asked.sendEvent(
+        request.sendEvent(
                 3, TestConfig.event(3, false, secondServer.listEntry("SERVING").replace("s-2", "s-3")));
-        assertNull(viewer.awaitMessage(400), "it moved to another address and stands");
+        assertNull(viewer.awaitMessage(400), "the server moved to another address and the session stays established");
         assertEquals(1, node.sessionCount());
     }
 
-    /** The request has run, its answer can't be read: what may stand there is released. */
+    /** The set-up has run but its answer cannot be parsed: the session that may exist at the server is released. */
     @Test
-    void aSessionWhoseAnswerWasLostIsReleasedAtItsServer() throws Exception {
-        connectBoth();
-        List<String> at = new CopyOnWriteArrayList<>();
-        List<Long> lost = new CopyOnWriteArrayList<>();
-        firstServer.onSetUp((wire, message) -> spoil(wire, message, "s-1", at, lost));
-        secondServer.onSetUp((wire, message) -> spoil(wire, message, "s-2", at, lost));
+    void sessionWithUnparsableAnswerIsReleasedAtServer() throws Exception {
+        openConnectionsToBoth();
+        List<String> servers = new CopyOnWriteArrayList<>();
+        List<Long> sessions = new CopyOnWriteArrayList<>();
+        firstServer.onSetUp(
+                (connection, message) -> sendUnparsableAnswer(connection, message, "s-1", servers, sessions));
+        secondServer.onSetUp(
+                (connection, message) -> sendUnparsableAnswer(connection, message, "s-2", servers, sessions));
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "paid");
         assertEquals(41, awaitAnswer(viewer, TIMEOUT_MS).cause());
-        assertEquals(List.of(id), lost);
-        Message release = nextAt(at.get(0).equals("s-1") ? firstServer : secondServer, MessageType.RELEASE);
+        assertEquals(List.of(id), sessions);
+        Message release =
+                awaitMessageAt(servers.get(0).equals("s-1") ? firstServer : secondServer, MessageType.RELEASE);
         assertNotNull(release);
         assertEquals(id, release.session());
     }
 
-    /** The connection is reset under a release: the session would stand at its server for good. */
+    /**
+     * The connection is reset after a release was written: without a retransmission the server would keep the session.
+     */
     @Test
-    void aReleaseThatIsLostWithItsConnectionIsSaidAgain() throws Exception {
+    void releaseIsRetransmittedAfterConnectionLoss() throws Exception {
         TestConnection viewer = connectViewer();
         long id = establishSession(viewer, "free");
         assertNotNull(awaitSetUpAtServers());
         viewer.send(new Message(MessageType.RELEASE, id).withCause(16));
-        ScriptedServer.ReceivedMessage lost = awaitAtServers(MessageType.RELEASE);
-        assertEquals(id, lost.message().session());
-        lost.connection().reset();
-        ScriptedServer.ReceivedMessage again = awaitAtServers(MessageType.RELEASE);
-        assertNotNull(again);
-        assertEquals(id, again.message().session());
-        again.connection().send(new Message(MessageType.RELEASE, id).withCause(31));
+        ScriptedServer.ReceivedMessage lostRelease = awaitAtServers(MessageType.RELEASE);
+        assertEquals(id, lostRelease.message().session());
+        lostRelease.connection().reset();
+        ScriptedServer.ReceivedMessage retransmitted = awaitAtServers(MessageType.RELEASE);
+        assertNotNull(retransmitted);
+        assertEquals(id, retransmitted.message().session());
+        retransmitted.connection().send(new Message(MessageType.RELEASE, id).withCause(31));
         awaitLoopIterations();
-        again.connection().reset();
-        assertNull(awaitAtServers(MessageType.RELEASE), "its server has spoken of it");
+        retransmitted.connection().reset();
+        assertNull(awaitAtServers(MessageType.RELEASE), "the server has acknowledged the release");
     }
 
-    private static void spoil(TestConnection wire, Message message, String at, List<String> where, List<Long> lost) {
-        where.add(at);
-        lost.add(message.session());
-        wire.sendRaw(new byte[] {0, 1, 9, 9, 9});
+    private static void sendUnparsableAnswer(
+            TestConnection connection, Message message, String server, List<String> servers, List<Long> sessions) {
+        servers.add(server);
+        sessions.add(message.session());
+        connection.sendRaw(new byte[] {0, 1, 9, 9, 9});
     }
 
-    /** The node ends a connection that it needs no more; the server's word on a session is on its way. */
+    /** The node closes a connection that it does not need while the server's release of a session is in transit. */
     @Test
-    void aReleaseThatCrossesTheEndOfItsConnectionIsHeard() throws Exception {
+    void releaseReceivedOnClosingConnectionIsProcessed() throws Exception {
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
         awaitAnswer(viewer, TIMEOUT_MS);
-        got.connection().beforeClose(() -> got.connection().send(new Message(MessageType.RELEASE, id).withCause(16)));
-        ScriptedServer newOne = closeAfterTest(new ScriptedServer("s-1", judge));
-        ScriptedServer newTwo = closeAfterTest(new ScriptedServer("s-2", judge));
+        received.connection()
+                .beforeClose(() -> received.connection().send(new Message(MessageType.RELEASE, id).withCause(16)));
+        ScriptedServer newFirstServer = closeAfterTest(new ScriptedServer("s-1", judge));
+        ScriptedServer newSecondServer = closeAfterTest(new ScriptedServer("s-2", judge));
         discovery
                 .awaitRequest(TIMEOUT_MS)
-                .sendEvent(2, TestConfig.event(2, false, newOne.listEntry("SERVING"), newTwo.listEntry("SERVING")));
+                .sendEvent(
+                        2,
+                        TestConfig.event(
+                                2, false, newFirstServer.listEntry("SERVING"), newSecondServer.listEntry("SERVING")));
         Message end = viewer.awaitMessage(1000);
-        assertNotNull(end, "the release was read though this side had ended the connection");
+        assertNotNull(end, "the release is read although the node has closed its side of the connection");
         assertEquals(id, end.session());
         assertEquals(16, end.cause());
     }
 
     // ---- the list
 
-    /** What refuses to tell may go on talking: none of it is the list. */
+    /** A response with an error status may have a body with events: it must not be applied to the server list. */
     @Test
-    void whatFollowsARefusalOfTheBulletinIsNotTaken() throws Exception {
+    void bodyOfDiscoveryErrorResponseIsIgnored() throws Exception {
         discovery.awaitRequest(TIMEOUT_MS);
-        ScriptedDiscovery refusing = closeAfterTest(new ScriptedDiscovery(
+        ScriptedDiscovery failingDiscovery = closeAfterTest(new ScriptedDiscovery(
                 "503 Service Unavailable",
                 "id: 2\ndata: "
                         + TestConfig.event(
                                 2, false, firstServer.listEntry("DELETED"), secondServer.listEntry("DELETED"))
                         + "\n\n"));
-        node.reconfigure(createConfig(refusing.port(), firstServer.listEntry("SERVING")));
-        assertEquals("1", refusing.awaitRequest(TIMEOUT_MS).lastEventId());
+        node.reconfigure(createConfig(failingDiscovery.port(), firstServer.listEntry("SERVING")));
+        assertEquals("1", failingDiscovery.awaitRequest(TIMEOUT_MS).lastEventId());
         assertEquals(
                 "1",
-                refusing.awaitRequest(TIMEOUT_MS).lastEventId(),
-                "asked again, after the last event that was told");
+                failingDiscovery.awaitRequest(TIMEOUT_MS).lastEventId(),
+                "requested again from the last event that was applied");
         establishSession(connectViewer(), "free");
     }
 
-    /** The address moves on while the connection to it is still coming up; then it comes up. */
+    /** The address is changed again while the connection to the previous one is being established. */
     @Test
-    void aBulletinThatComesUpAfterTheMoveIsNotAsked() throws Exception {
+    void previousDiscoveryAddressIsNotQueriedAfterReconfiguration() throws Exception {
         discovery.awaitRequest(TIMEOUT_MS);
-        ScriptedDiscovery old = closeAfterTest(new ScriptedDiscovery());
-        ScriptedDiscovery fresh = closeAfterTest(new ScriptedDiscovery());
+        ScriptedDiscovery oldDiscovery = closeAfterTest(new ScriptedDiscovery());
+        ScriptedDiscovery newDiscovery = closeAfterTest(new ScriptedDiscovery());
         whileLoopIsBlocked(() -> {
-            node.reconfigure(createConfig(old.port(), firstServer.listEntry("SERVING")));
-            node.reconfigure(createConfig(fresh.port(), firstServer.listEntry("SERVING")));
+            node.reconfigure(createConfig(oldDiscovery.port(), firstServer.listEntry("SERVING")));
+            node.reconfigure(createConfig(newDiscovery.port(), firstServer.listEntry("SERVING")));
         });
-        assertNotNull(fresh.awaitRequest(TIMEOUT_MS));
-        assertNull(old.awaitRequest(NOTHING_MS));
+        assertNotNull(newDiscovery.awaitRequest(TIMEOUT_MS));
+        assertNull(oldDiscovery.awaitRequest(SILENCE_MS));
     }
 
-    /** What was told since the configuration was written counts: it is asked for before viewers come. */
+    /** Events since the configuration was written count, so the list is requested before viewers are served. */
     @Test
-    void aStartAsksForTheListBeforeItServes() throws Exception {
-        ScriptedDiscovery own = closeAfterTest(new ScriptedDiscovery());
+    void startRequestsServerListBeforeServing() throws Exception {
+        ScriptedDiscovery ownDiscovery = closeAfterTest(new ScriptedDiscovery());
         NodeConfig config =
-                createConfig(own.port(), firstServer.listEntry("SERVING"), secondServer.listEntry("SERVING"));
+                createConfig(ownDiscovery.port(), firstServer.listEntry("SERVING"), secondServer.listEntry("SERVING"));
         node.close();
         node = FrontNode.start(config, EventSink.none(), EventSink.none(), () -> {
             try {
-                own.awaitRequest(TIMEOUT_MS)
+                ownDiscovery
+                        .awaitRequest(TIMEOUT_MS)
                         .sendEvent(2, TestConfig.event(2, false, firstServer.listEntry("DRAINING")));
             } catch (IOException | InterruptedException e) {
                 throw new AssertionError(e);
             }
         });
-        nothingGoesToOne();
+        verifyNoSetUpAtFirstServer();
     }
 
-    /** The list comes late, after all else is ready: viewers wait for it. */
+    /** The list arrives after everything else is ready: the node does not listen before. */
     @Test
-    void aStartServesNobodyUntilTheListIsKnown() throws Exception {
-        try (ServerSocket own = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
+    void startDoesNotListenUntilServerListIsKnown() throws Exception {
+        try (ServerSocket ownDiscovery = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             NodeConfig config = createConfig(
-                    own.getLocalPort(), firstServer.listEntry("SERVING"), secondServer.listEntry("SERVING"));
+                    ownDiscovery.getLocalPort(), firstServer.listEntry("SERVING"), secondServer.listEntry("SERVING"));
             node.close();
             CountDownLatch ready = new CountDownLatch(1);
             CompletableFuture<FrontNode> starting = CompletableFuture.supplyAsync(() -> {
@@ -387,39 +404,40 @@
                     throw new AssertionError(e);
                 }
             });
-            Socket asked = own.accept();
+            Socket discoveryConnection = ownDiscovery.accept();
             ready.await();
             assertThrows(TimeoutException.class, () -> starting.get(400, TimeUnit.MILLISECONDS));
             assertTrue(TestConnection.isConnectionRefused(config.listen().getPort()));
-            asked.getOutputStream()
+            discoveryConnection
+                    .getOutputStream()
                     .write(("HTTP/1.1 200 OK\r\n\r\nid: 2\ndata: "
                                     + TestConfig.event(2, false, firstServer.listEntry("DRAINING")) + "\n\n")
                             .getBytes(StandardCharsets.UTF_8));
             node = starting.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
-            nothingGoesToOne();
-            asked.close();
+            verifyNoSetUpAtFirstServer();
+            discoveryConnection.close();
         }
     }
 
-    private void nothingGoesToOne() throws Exception {
+    private void verifyNoSetUpAtFirstServer() throws Exception {
         TestConnection viewer = connectViewer();
         for (int i = 0; i < 5; i++) {
             establishSession(viewer, "free");
         }
-        assertNull(nextAt(firstServer, MessageType.SET_UP));
+        assertNull(awaitMessageAt(firstServer, MessageType.SET_UP));
     }
 
     // ---- the stop
 
-    /** Its answers are in this process's buffers: their reader is slow. */
+    /** Answers to a slow reader are still in the node's buffers. */
     @Test
-    void aStopWaitsUntilItsAnswersHaveGoneOut() throws Exception {
-        onSetUpAtBoth((wire, message) -> big(wire, message));
+    void stopWaitsUntilAnswersAreFlushed() throws Exception {
+        onSetUpAtBoth((connection, message) -> sendLargeAnswer(connection, message));
         TestConnection slow = closeAfterTest(
                 TestConnection.connectWithoutReading(node.address().getPort(), 4096));
-        List<Long> asked = new ArrayList<>();
+        List<Long> requestIds = new ArrayList<>();
         for (int i = 0; i < 400 && !node.hasUnflushed(); i++) {
-            asked.add(sendSetUp(slow, "free"));
+            requestIds.add(sendSetUp(slow, "free"));
             assertNotNull(awaitSetUpAtServers());
         }
         CountDownLatch done = new CountDownLatch(1);
@@ -427,62 +445,65 @@
         assertFalse(done.await(1500, TimeUnit.MILLISECONDS));
         slow.startReading();
         assertTrue(done.await(1, TimeUnit.SECONDS));
-        // Two servers answer on connections of their own: in no order, each once.
-        List<Long> answered = new ArrayList<>();
-        for (int i = 0; i < asked.size(); i++) {
-            answered.add(awaitAnswer(slow, TIMEOUT_MS).session());
+        // The two servers answer on separate connections, so each answer arrives once, in any order.
+        List<Long> answeredIds = new ArrayList<>();
+        for (int i = 0; i < requestIds.size(); i++) {
+            answeredIds.add(awaitAnswer(slow, TIMEOUT_MS).session());
         }
-        Collections.sort(answered);
-        assertEquals(asked, answered);
+        Collections.sort(answeredIds);
+        assertEquals(requestIds, answeredIds);
     }
 
-    private void big(TestConnection wire, Message message) {
+    private void sendLargeAnswer(TestConnection connection, Message message) {
         byte[] description = new byte[15_000];
         judge.descriptionIssued(message.session(), description);
-        wire.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, description));
+        connection.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, description));
     }
 
-    /** Its viewer would hear of the end from nobody. */
+    /** If the node ended before, no one would tell the viewer of the end of its session. */
     @Test
-    void aStopWaitsUntilAReleaseIsHeard() throws Exception {
+    void stopWaitsUntilReleaseIsAcknowledged() throws Exception {
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
         awaitAnswer(viewer, TIMEOUT_MS);
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
         assertFalse(done.await(600, TimeUnit.MILLISECONDS));
-        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        received.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
         assertEquals(id, viewer.awaitMessage(TIMEOUT_MS).session());
         assertFalse(done.await(600, TimeUnit.MILLISECONDS));
         viewer.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, id));
         assertTrue(done.await(500, TimeUnit.MILLISECONDS));
     }
 
-    /** A paid session at a silent server has its whole deadline, and its answer before the kill. */
+    /**
+     * A paid set-up at a silent server keeps as much of its deadline as the shutdown allows, and is answered before the
+     * process is killed.
+     */
     @Test
-    void aStopAnswersWhatNoServerAnswersBeforeTheKill() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void stopFailsUnansweredRequestBeforeKill() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
         TestConnection viewer = connectViewer();
         long id = ++lastSessionId;
         judge.requestSent(id, "paid");
-        Message patient = new Message(MessageType.SET_UP, id)
+        Message setUp = new Message(MessageType.SET_UP, id)
                 .with(Parameter.CLASS, "paid")
                 .with(Parameter.WAIT, "8000")
                 .with(Parameter.TITLE, "7f3a9c21e0b4d655")
                 .with(Parameter.ATTRIBUTES, "home:0;copies:1;top:2;viewer:00000000b4d65521")
                 .with(Parameter.DESCRIPTION, "v=0");
-        viewer.send(patient);
+        viewer.send(setUp);
         assertTrue(done.await(3700, TimeUnit.MILLISECONDS));
         assertEquals(id, awaitAnswer(viewer, 1000).session());
     }
 
-    /** A connection that comes when nothing more is served is refused, not accepted and cut. */
+    /** A new connection after the end of service is refused, not accepted and closed. */
     @Test
-    void aStopRefusesConnectionsOnceItServesNoMore() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void stopRefusesConnectionsAfterEndOfService() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection viewer = connectViewer();
         sendSetUp(viewer, "paid");
         assertNotNull(awaitSetUpAtServers());
@@ -494,7 +515,7 @@
                     || TestConnection.isConnectionRefused(node.address().getPort());
         }
         assertTrue(refused);
-        assertEquals(1, done.getCount(), "an answer is still owed");
+        assertEquals(1, done.getCount(), "an answer is still pending");
         awaitAnswer(viewer, TIMEOUT_MS);
     }
 }
--- a/node/src/test/java/spanrill/node/FaultyServersTest.java
+++ b/node/src/test/java/spanrill/node/FaultyServersTest.java
@@ -12,49 +12,50 @@
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
 
-/** Servers whose answers are spoilt, late, doubled or missing. */
+/** Tests servers whose answers are malformed, late, duplicated or missing. */
 class FaultyServersTest extends FrontNodeTestBase {
     @Test
-    void anUnreadableAnswerIsALossAndTheSessionGoesElsewhere() throws Exception {
-        firstServer.onSetUp((wire, message) -> wire.sendRaw(new byte[] {0, 1, 9, 9, 9}));
-        secondServer.onSetUp(
-                (wire, message) -> wire.sendRaw("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
+    void paidSetUpFailsAfterUnparsableAnswer() throws Exception {
+        firstServer.onSetUp((connection, message) -> connection.sendRaw(new byte[] {0, 1, 9, 9, 9}));
+        secondServer.onSetUp((connection, message) ->
+                connection.sendRaw("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
         TestConnection viewer = connectViewer();
-        long paid = sendSetUp(viewer, "paid");
-        assertEquals(41, awaitAnswer(viewer, TIMEOUT_MS).cause(), "it may have run: failed, not refused");
-        assertEquals(List.of(), judge.violations(paid));
+        long id = sendSetUp(viewer, "paid");
+        assertEquals(
+                41, awaitAnswer(viewer, TIMEOUT_MS).cause(), "the set-up may have run, so it is failed, not refused");
+        assertEquals(List.of(), judge.violations(id));
         firstServer.onSetUp(firstServer::sendAnswer);
         secondServer.onSetUp(secondServer::sendAnswer);
     }
 
     @Test
-    void aFreeSessionIsSentAgainAfterALoss() throws Exception {
-        boolean[] lost = new boolean[1];
-        onSetUpAtBoth((wire, message) -> {
-            if (!lost[0]) {
-                lost[0] = true;
-                wire.reset();
+    void freeSetUpIsRetriedAfterConnectionReset() throws Exception {
+        boolean[] connectionReset = new boolean[1];
+        onSetUpAtBoth((connection, message) -> {
+            if (!connectionReset[0]) {
+                connectionReset[0] = true;
+                connection.reset();
             } else {
-                firstServer.sendAnswer(wire, message);
+                firstServer.sendAnswer(connection, message);
             }
         });
         establishSession(connectViewer(), "free");
-        assertTrue(lost[0]);
+        assertTrue(connectionReset[0]);
     }
 
-    /** Full proves that it never ran, so a paid session goes on; so does a connection that is refused. */
+    /** A release with cause 34 and a refused connection both prove that the set-up never ran, so it is retried. */
     @Test
-    void proofLetsAPaidSessionGoElsewhere() throws Exception {
-        boolean[] full = new boolean[1];
-        onSetUpAtBoth((wire, message) -> {
-            if (!full[0]) {
-                full[0] = true;
+    void paidSetUpIsRetriedAfterProofThatItNeverRan() throws Exception {
+        boolean[] refusedOnce = new boolean[1];
+        onSetUpAtBoth((connection, message) -> {
+            if (!refusedOnce[0]) {
+                refusedOnce[0] = true;
                 judge.nonExecutionProved(message.session());
-                wire.send(new Message(MessageType.RELEASE, message.session())
+                connection.send(new Message(MessageType.RELEASE, message.session())
                         .withCause(34)
                         .with(Parameter.LOAD_REPORT, "x0:1.3;x1:noise"));
             } else {
-                firstServer.sendAnswer(wire, message);
+                firstServer.sendAnswer(connection, message);
             }
         });
         establishSession(connectViewer(), "paid");
@@ -63,17 +64,19 @@
             TestConnection viewer = connectViewer();
             sendSetUp(viewer, "paid");
             Message answer = awaitAnswer(viewer, TIMEOUT_MS);
-            assertTrue(answer.type() == MessageType.ANSWER || answer.cause() == 42, "served by the other");
+            assertTrue(
+                    answer.type() == MessageType.ANSWER || answer.cause() == 42,
+                    "answered by the other server or refused");
         }
     }
 
     @Test
-    void copiesAndAnswersForOthersAreNotPassedOn() throws Exception {
-        onSetUpAtBoth((wire, message) -> {
-            wire.send(new Message(MessageType.ANSWER, 424242).with(Parameter.DESCRIPTION, "ahead"));
-            firstServer.sendAnswer(wire, message);
-            firstServer.sendAnswer(wire, message);
-            wire.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, "other"));
+    void duplicateAndForeignAnswersAreNotForwarded() throws Exception {
+        onSetUpAtBoth((connection, message) -> {
+            connection.send(new Message(MessageType.ANSWER, 424242).with(Parameter.DESCRIPTION, "ahead"));
+            firstServer.sendAnswer(connection, message);
+            firstServer.sendAnswer(connection, message);
+            connection.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, "other"));
         });
         TestConnection viewer = connectViewer();
         for (int i = 0; i < 5; i++) {
@@ -82,76 +85,76 @@
         assertNull(viewer.awaitMessage(100));
     }
 
-    /** Late answers are usual: their number over the life of a connection ends nothing that is open on it. */
+    /** Late answers are usual: any number of them over the life of a connection must not end the set-ups open on it. */
     @Test
-    void unsolicitedAnswersEndNoConnectionUnderAnAttempt() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void unsolicitedAnswersDoNotCloseConnectionWithOpenSetUp() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "paid");
-        ScriptedServer.ReceivedMessage open = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
         for (int i = 1; i <= 80; i++) {
-            open.connection().send(new Message(MessageType.ANSWER, 70_000 + i).with(Parameter.DESCRIPTION, "late"));
+            received.connection().send(new Message(MessageType.ANSWER, 70_000 + i).with(Parameter.DESCRIPTION, "late"));
         }
-        firstServer.sendAnswer(open.connection(), open.message());
+        firstServer.sendAnswer(received.connection(), received.message());
         Message answer = awaitAnswer(viewer, TIMEOUT_MS);
         assertEquals(id, answer.session());
         assertEquals(MessageType.ANSWER, answer.type());
     }
 
     @Test
-    void aServerThatStaysSilentIsGivenUpAndTheAnswerComesInTime() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void silentServerIsGivenUpBeforeViewerDeadline() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection viewer = connectViewer();
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         sendSetUp(viewer, "paid");
         Message answer = awaitAnswer(viewer, TIMEOUT_MS);
         assertEquals(41, answer.cause());
-        assertTrue((System.nanoTime() - began) / 1_000_000 < 1600, "by the viewer's deadline");
+        assertTrue((System.nanoTime() - startNanos) / 1_000_000 < 1600, "answered by the viewer's deadline");
     }
 
-    /** Before the server's idle time, so that no paid set-up crosses the server's close. */
+    /** The node closes first, so that no paid set-up crosses the server's close. */
     @Test
-    void idleConnectionsAreDroppedHere() throws Exception {
+    void idleConnectionIsClosedBeforeServerIdleTimeout() throws Exception {
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
         awaitAnswer(viewer, TIMEOUT_MS);
-        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
-        assertTrue(got.connection().awaitEnd(2800), "servers here close after 3 s");
+        received.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        assertTrue(received.connection().awaitEnd(2800), "closed before the server's idle time-out of 3 s");
     }
 
     @Test
-    void aServerThatFallsSilentIsTested() throws Exception {
+    void silentServerIsTested() throws Exception {
         TestConnection viewer = connectViewer();
         sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
-        ScriptedServer at =
+        ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
+        ScriptedServer server =
                 awaitAnswer(viewer, TIMEOUT_MS).text(Parameter.DESCRIPTION).startsWith("s-1")
                         ? firstServer
                         : secondServer;
-        ScriptedServer.ReceivedMessage test = at.awaitMessage(MessageType.TEST, 4000);
-        assertNotNull(test, "no note for longer than two of them");
+        ScriptedServer.ReceivedMessage test = server.awaitMessage(MessageType.TEST, 4000);
+        assertNotNull(test, "tested after more than two note intervals without a note");
         test.connection()
                 .send(new Message(MessageType.TEST_RESULT, test.message().session()).withCause(1));
-        assertNull(viewer.awaitMessage(300), "it lives: its session stands");
-        assertNotNull(got);
+        assertNull(viewer.awaitMessage(300), "the server is alive, so its session stays established");
+        assertNotNull(received);
     }
 
-    /** An answer that breaks off is a loss at the time-out, and the connection takes nothing new. */
+    /** A truncated answer counts as lost at the time-out, and its connection gets no new set-ups. */
     @Test
-    void anAnswerThatStopsShortIsGivenUpAndItsConnectionClosed() throws Exception {
-        List<TestConnection> spoilt = new java.util.concurrent.CopyOnWriteArrayList<>();
-        onSetUpAtBoth((wire, message) -> {
-            if (spoilt.isEmpty()) {
-                spoilt.add(wire);
-                wire.sendRaw(new byte[] {0, 40, 9, 0, 0, 0});
-            } else if (!spoilt.contains(wire)) {
-                firstServer.sendAnswer(wire, message);
+    void truncatedAnswerIsGivenUpAndItsConnectionClosed() throws Exception {
+        List<TestConnection> truncatingConnections = new java.util.concurrent.CopyOnWriteArrayList<>();
+        onSetUpAtBoth((connection, message) -> {
+            if (truncatingConnections.isEmpty()) {
+                truncatingConnections.add(connection);
+                connection.sendRaw(new byte[] {0, 40, 9, 0, 0, 0});
+            } else if (!truncatingConnections.contains(connection)) {
+                firstServer.sendAnswer(connection, message);
             }
         });
         TestConnection viewer = connectViewer();
         establishSession(viewer, "free");
-        assertTrue(spoilt.get(0).awaitEnd(TIMEOUT_MS));
+        assertTrue(truncatingConnections.get(0).awaitEnd(TIMEOUT_MS));
         establishSession(viewer, "free");
     }
 }
--- a/node/src/test/java/spanrill/node/FrontNodeTestBase.java
+++ b/node/src/test/java/spanrill/node/FrontNodeTestBase.java
@@ -22,15 +22,18 @@
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
 
-/** A node between scripted viewers, servers and discovery, judged from what crossed the sockets. */
+/**
+ * Runs a node between scripted viewers, servers and discovery. After each test, the messages that crossed the sockets
+ * are checked against the request rules.
+ */
 @Timeout(30)
 abstract class FrontNodeTestBase {
     static final long TIMEOUT_MS = 3000;
     final RequestRuleChecker judge = new RequestRuleChecker();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
 
     @TempDir
-    private Path folder;
+    private Path tempFolder;
 
     ScriptedServer firstServer;
     ScriptedServer secondServer;
@@ -52,26 +55,26 @@
     @AfterEach
     void stop() throws Exception {
         node.close();
-        for (AutoCloseable each : open) {
-            each.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         assertEquals(List.of(), judge.violations());
     }
 
-    <T extends AutoCloseable> T closeAfterTest(T peer) {
-        open.add(peer);
-        return peer;
+    <T extends AutoCloseable> T closeAfterTest(T resource) {
+        resources.add(resource);
+        return resource;
     }
 
     NodeConfig createConfig(int discoveryPort, String... members) throws IOException {
-        Path file = folder.resolve("config.json");
+        Path file = tempFolder.resolve("config.json");
         Files.writeString(
                 file,
                 adjustConfig(TestConfig.json(freePort(), discoveryPort, List.of(TestConfig.event(1, true, members)))));
         return NodeConfig.read(file);
     }
 
-    /** The configuration as these tests want it. */
+    /** Changes the configuration for the tests of a subclass. */
     String adjustConfig(String json) {
         return json;
     }
@@ -86,58 +89,60 @@
         return closeAfterTest(TestConnection.connect(node.address().getPort()));
     }
 
-    /** What a test does while the node's loop is held: what comes meanwhile lies unread together. */
+    /** Action of a test while the node's event loop is blocked: all input that arrives meanwhile is read together. */
     interface ThrowingAction {
         void run() throws Exception;
     }
 
-    void whileLoopIsBlocked(ThrowingAction step) throws Exception {
-        LoopBlocker held = new LoopBlocker();
-        node.eventLoop().execute(held);
-        held.awaitBlocked();
-        step.run();
-        held.unblock();
+    void whileLoopIsBlocked(ThrowingAction action) throws Exception {
+        LoopBlocker blocker = new LoopBlocker();
+        node.eventLoop().execute(blocker);
+        blocker.awaitBlocked();
+        action.run();
+        blocker.unblock();
     }
 
-    /** A task that holds the node's loop until it is over. */
+    /** A task that blocks the node's event loop until it is released. */
     static final class LoopBlocker implements Runnable {
-        private final CountDownLatch began = new CountDownLatch(1);
-        private final CountDownLatch over = new CountDownLatch(1);
+        private final CountDownLatch started = new CountDownLatch(1);
+        private final CountDownLatch released = new CountDownLatch(1);
 
         @Override
         public void run() {
-            began.countDown();
+            started.countDown();
             try {
-                over.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
 
         void awaitBlocked() throws InterruptedException {
-            began.await();
+            started.await();
         }
 
         void unblock() {
-            over.countDown();
+            released.countDown();
         }
     }
 
-    /** Waits until the node has read what was sent to it before, and has done what follows from it. */
+    /** Waits until the node has read and handled all messages sent to it before. */
     void awaitLoopIterations() throws InterruptedException {
         for (int round = 0; round < 4; round++) {
-            CountDownLatch ran = new CountDownLatch(1);
-            node.eventLoop().execute(ran::countDown);
-            ran.await();
+            CountDownLatch executed = new CountDownLatch(1);
+            node.eventLoop().execute(executed::countDown);
+            executed.await();
         }
     }
 
-    static Message setUpMessage(long id, String className, String more) {
+    static Message setUpMessage(long id, String className, String extraAttributes) {
         return new Message(MessageType.SET_UP, id)
                 .with(Parameter.CLASS, className)
                 .with(Parameter.WAIT, "1500")
                 .with(Parameter.TITLE, "7f3a9c21e0b4d655")
-                .with(Parameter.ATTRIBUTES, "home:0;copies:1;top:2;viewer:" + String.format("%016x", id) + more)
+                .with(
+                        Parameter.ATTRIBUTES,
+                        "home:0;copies:1;top:2;viewer:" + String.format("%016x", id) + extraAttributes)
                 .with(Parameter.DESCRIPTION, "v=0".getBytes(StandardCharsets.UTF_8));
     }
 
@@ -149,10 +154,10 @@
     }
 
     Message awaitAnswer(TestConnection viewer, long ms) throws InterruptedException {
-        Message message = viewer.awaitMessage(ms);
-        assertNotNull(message, "an answer in time");
-        judge.receivedByViewer(message);
-        return message;
+        Message answer = viewer.awaitMessage(ms);
+        assertNotNull(answer, "no answer in time");
+        judge.receivedByViewer(answer);
+        return answer;
     }
 
     long establishSession(TestConnection viewer, String className) throws InterruptedException {
@@ -161,18 +166,18 @@
         return id;
     }
 
-    /** The set-up that reached one of the two servers. */
+    /** The next set-up that one of the two servers receives, or null. */
     ScriptedServer.ReceivedMessage awaitSetUpAtServers() throws InterruptedException {
         return awaitAtServers(MessageType.SET_UP);
     }
 
-    /** The next message of a type that reached one of the two servers, or null. */
+    /** The next message of a type that one of the two servers receives, or null. */
     ScriptedServer.ReceivedMessage awaitAtServers(MessageType type) throws InterruptedException {
         for (int i = 0; i < 300; i++) {
             for (ScriptedServer server : List.of(firstServer, secondServer)) {
-                ScriptedServer.ReceivedMessage got = server.awaitMessage(type, 5);
-                if (got != null) {
-                    return got;
+                ScriptedServer.ReceivedMessage received = server.awaitMessage(type, 5);
+                if (received != null) {
+                    return received;
                 }
             }
         }
--- a/node/src/test/java/spanrill/node/FullBacklogServer.java
+++ b/node/src/test/java/spanrill/node/FullBacklogServer.java
@@ -13,53 +13,53 @@
 import spanrill.wire.platform.Message;
 
 /**
- * A server to which connections don't come up until the test says so: its queue of connections is full of
- * the test's own, so the kernel lets whoever else comes wait and try again (after 1 s, then 2 s).
+ * A server to which no connection is established before the test calls {@link #open}: its accept queue is full of the
+ * test's own connections, so the kernel of any other client retransmits its SYN (after 1 s, then 2 s).
  */
 final class FullBacklogServer implements AutoCloseable {
     final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
-    private static final int TRY_MS = 100;
-    private final ServerSocket listening;
+    private static final int CONNECT_TIMEOUT_MS = 100;
+    private final ServerSocket listener;
     private final List<Socket> fillers = new ArrayList<>();
 
     FullBacklogServer() throws IOException {
-        listening = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         try {
             while (fillers.size() < 16) {
                 Socket filler = new Socket();
                 fillers.add(filler);
-                filler.connect(new InetSocketAddress("127.0.0.1", listening.getLocalPort()), TRY_MS);
+                filler.connect(new InetSocketAddress("127.0.0.1", listener.getLocalPort()), CONNECT_TIMEOUT_MS);
             }
-            throw new IOException("its queue takes every connection");
-        } catch (SocketTimeoutException full) {
+            throw new IOException("the accept queue takes every connection");
+        } catch (SocketTimeoutException queueFull) {
             fillers.get(fillers.size() - 1).close();
         }
     }
 
-    /** From now on whatever comes is accepted, and what it brings is read. */
+    /** Starts to accept connections and to read their messages. */
     void open() {
-        Thread accepting = new Thread(
+        Thread acceptor = new Thread(
                 () -> {
                     try {
                         while (true) {
-                            new TestConnection(listening.accept(), (wire, message) -> received.add(message));
+                            new TestConnection(listener.accept(), (connection, message) -> received.add(message));
                         }
                     } catch (IOException e) {
                         // Closed by the test.
                     }
                 },
-                "late-server");
-        accepting.setDaemon(true);
-        accepting.start();
+                "full-backlog-server");
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
     int port() {
-        return listening.getLocalPort();
+        return listener.getLocalPort();
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        listener.close();
         for (Socket filler : fillers) {
             filler.close();
         }
--- a/node/src/test/java/spanrill/node/ScriptedDiscovery.java
+++ b/node/src/test/java/spanrill/node/ScriptedDiscovery.java
@@ -11,22 +11,22 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery on loopback: each request is put in a queue, what is told is what the test writes. */
+/** A scripted discovery service on the loopback interface: requests are queued, and tests write the events. */
 final class ScriptedDiscovery implements AutoCloseable {
     private final String status;
     private final String body;
-    private final ServerSocket listening;
-    private final BlockingQueue<StreamRequest> asked = new LinkedBlockingQueue<>();
+    private final ServerSocket listener;
+    private final BlockingQueue<StreamRequest> requests = new LinkedBlockingQueue<>();
 
-    /** A request: its Last-Event-ID, and the connection to tell on. */
+    /** A request: its path, its Last-Event-ID, and the connection for the events. */
     record StreamRequest(String path, String lastEventId, Socket socket) {
         void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             socket.getOutputStream().flush();
         }
 
-        void sendEvent(long no, String event) throws IOException {
-            write("id: " + no + "\ndata: " + event + "\n\n");
+        void sendEvent(long number, String event) throws IOException {
+            write("id: " + number + "\ndata: " + event + "\n\n");
         }
     }
 
@@ -34,36 +34,36 @@
         this("200 OK", ": hello\n\n");
     }
 
-    /** One whose answers have a status of their own and begin with a body. */
+    /** A service that answers with {@code status} and begins the body of each response with {@code body}. */
     ScriptedDiscovery(String status, String body) throws IOException {
         this.status = status;
         this.body = body;
-        listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Thread accepting = new Thread(this::accept, "bulletin");
-        accepting.setDaemon(true);
-        accepting.start();
+        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        Thread acceptor = new Thread(this::accept, "discovery");
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
     private void accept() {
         try {
             while (true) {
-                Socket socket = listening.accept();
-                BufferedReader in =
+                Socket socket = listener.accept();
+                BufferedReader reader =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-                String first = in.readLine();
-                if (first == null) {
-                    // It came up and was given up before it asked.
+                String requestLine = reader.readLine();
+                if (requestLine == null) {
+                    // The connection was closed before it sent a request.
                     continue;
                 }
-                String last = null;
-                for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
+                String lastEventId = null;
+                for (String line = reader.readLine(); line != null && !line.isEmpty(); line = reader.readLine()) {
                     if (line.toLowerCase(java.util.Locale.ROOT).startsWith("last-event-id:")) {
-                        last = line.substring(14).trim();
+                        lastEventId = line.substring(14).trim();
                     }
                 }
-                StreamRequest next = new StreamRequest(first.split(" ")[1], last, socket);
-                next.write("HTTP/1.1 " + status + "\r\ncontent-type: text/event-stream\r\n\r\n" + body);
-                asked.add(next);
+                StreamRequest request = new StreamRequest(requestLine.split(" ")[1], lastEventId, socket);
+                request.write("HTTP/1.1 " + status + "\r\ncontent-type: text/event-stream\r\n\r\n" + body);
+                requests.add(request);
             }
         } catch (IOException e) {
             // Closed by the test.
@@ -71,15 +71,15 @@
     }
 
     StreamRequest awaitRequest(long ms) throws InterruptedException {
-        return asked.poll(ms, TimeUnit.MILLISECONDS);
+        return requests.poll(ms, TimeUnit.MILLISECONDS);
     }
 
     int port() {
-        return listening.getLocalPort();
+        return listener.getLocalPort();
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        listener.close();
     }
 }
--- a/node/src/test/java/spanrill/node/ScriptedServer.java
+++ b/node/src/test/java/spanrill/node/ScriptedServer.java
@@ -14,63 +14,63 @@
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
 
-/** A server on loopback that does what the test says; unless told otherwise it answers every set-up. */
+/** A scripted server on the loopback interface. By default it answers every set-up. */
 final class ScriptedServer implements AutoCloseable {
-    /** A message and the connection that it came on. */
+    /** A message and the connection on which it was received. */
     record ReceivedMessage(TestConnection connection, Message message) {}
 
     final String id;
     final BlockingQueue<ReceivedMessage> received = new LinkedBlockingQueue<>();
-    private final ServerSocket listening;
-    private final List<TestConnection> wires = new CopyOnWriteArrayList<>();
+    private final ServerSocket listener;
+    private final List<TestConnection> connections = new CopyOnWriteArrayList<>();
     private final RequestRuleChecker judge;
     private volatile BiConsumer<TestConnection, Message> onSetUp = this::sendAnswer;
 
     ScriptedServer(String id, RequestRuleChecker judge) throws IOException {
         this.id = id;
         this.judge = judge;
-        listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Thread accepting = new Thread(this::accept, "server-" + id);
-        accepting.setDaemon(true);
-        accepting.start();
+        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        Thread acceptor = new Thread(this::accept, "server-" + id);
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
     private void accept() {
         try {
             while (true) {
-                Socket socket = listening.accept();
+                Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                wires.add(new TestConnection(socket, this::heard));
+                connections.add(new TestConnection(socket, this::onMessage));
             }
         } catch (IOException e) {
             // Closed by the test.
         }
     }
 
-    private void heard(TestConnection wire, Message message) {
+    private void onMessage(TestConnection connection, Message message) {
         judge.receivedByServer(id, message);
-        received.add(new ReceivedMessage(wire, message));
+        received.add(new ReceivedMessage(connection, message));
         if (message.type() == MessageType.SET_UP) {
-            onSetUp.accept(wire, message);
+            onSetUp.accept(connection, message);
         }
     }
 
-    /** The usual answer: a description of this server for this session. */
-    void sendAnswer(TestConnection wire, Message setUp) {
+    /** Sends the default answer: a description with the ids of this server and the session. */
+    void sendAnswer(TestConnection connection, Message setUp) {
         byte[] description = (id + "/" + setUp.session()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
         judge.descriptionIssued(setUp.session(), description);
-        wire.send(new Message(MessageType.ANSWER, setUp.session()).with(Parameter.DESCRIPTION, description));
+        connection.send(new Message(MessageType.ANSWER, setUp.session()).with(Parameter.DESCRIPTION, description));
     }
 
-    void onSetUp(BiConsumer<TestConnection, Message> action) {
-        onSetUp = action;
+    void onSetUp(BiConsumer<TestConnection, Message> handler) {
+        onSetUp = handler;
     }
 
-    /** The next message of a type. */
+    /** The next message of a type, or null when none arrives in time; other messages are dropped. */
     ReceivedMessage awaitMessage(MessageType type, long ms) throws InterruptedException {
-        long until = System.nanoTime() + ms * 1_000_000;
-        for (long left = ms; left > 0; left = (until - System.nanoTime()) / 1_000_000) {
-            ReceivedMessage next = received.poll(left, TimeUnit.MILLISECONDS);
+        long deadlineNanos = System.nanoTime() + ms * 1_000_000;
+        for (long remainingMs = ms; remainingMs > 0; remainingMs = (deadlineNanos - System.nanoTime()) / 1_000_000) {
+            ReceivedMessage next = received.poll(remainingMs, TimeUnit.MILLISECONDS);
             if (next != null && next.message().type() == type) {
                 return next;
             }
@@ -79,28 +79,28 @@
     }
 
     int port() {
-        return listening.getLocalPort();
+        return listener.getLocalPort();
     }
 
     String listEntry(String phase) {
         return TestConfig.member(id, port(), phase);
     }
 
-    /** Its process dies, but one connection is left open and silent, as after a broken path. */
+    /** Simulates a crash that leaves one connection open and silent, as after a broken network path. */
     void crashLeavingOneConnectionOpen() throws IOException {
-        listening.close();
-        wires.subList(1, wires.size()).forEach(TestConnection::reset);
+        listener.close();
+        connections.subList(1, connections.size()).forEach(TestConnection::reset);
     }
 
-    /** Closes its connections in order, as one that finds them idle; it goes on listening. */
+    /** Closes all connections in order, as a server does with idle ones, and goes on listening. */
     void closeConnections() {
-        wires.forEach(TestConnection::close);
+        connections.forEach(TestConnection::close);
     }
 
-    /** True when all connections to it were ended by the other side in time. */
+    /** True when the node ends all connections in time. */
     boolean awaitAllEnded(long ms) throws InterruptedException {
-        for (TestConnection wire : wires) {
-            if (!wire.awaitEnd(ms)) {
+        for (TestConnection connection : connections) {
+            if (!connection.awaitEnd(ms)) {
                 return false;
             }
         }
@@ -108,13 +108,13 @@
     }
 
     int connectionCount() {
-        return wires.size();
+        return connections.size();
     }
 
-    /** Dies: refuses connections and resets those that stand. */
+    /** Simulates a crash: refuses new connections and resets established ones. */
     @Override
     public void close() throws IOException {
-        listening.close();
-        wires.forEach(TestConnection::reset);
+        listener.close();
+        connections.forEach(TestConnection::reset);
     }
 }
--- a/node/src/test/java/spanrill/node/SettingsLimitsTest.java
+++ b/node/src/test/java/spanrill/node/SettingsLimitsTest.java
@@ -10,40 +10,43 @@
 import org.junit.jupiter.api.Test;
 import spanrill.wire.platform.MessageType;
 
-/** Limits that a customer's settings state, where they are tighter than the node's own. */
+/** Tests limits of a customer's settings that are tighter than the node's own. */
 class SettingsLimitsTest extends FrontNodeTestBase {
     @Override
     String adjustConfig(String json) {
         return json.replace("\"max_attempts\":3", "\"max_attempts\":3,\"max_streams\":1,\"probing\":false");
     }
 
-    /** Where tests are not allowed a silent server is asked by a connection only; its session stands. */
+    /** Without test messages, a silent server is probed by a new connection only; its session stays established. */
     @Test
-    void noServerIsTestedWhereTheSettingsForbidIt() throws Exception {
+    void serversAreNotTestedWhenProbingIsDisabled() throws Exception {
         TestConnection viewer = connectViewer();
         establishSession(viewer, "free");
-        ScriptedServer at = firstServer.connectionCount() > 0 ? firstServer : secondServer;
-        int before = at.connectionCount();
-        assertNull(at.awaitMessage(MessageType.TEST, 4500), "silent for longer than two notes");
-        assertTrue(at.connectionCount() > before, "a connection was tried");
+        ScriptedServer server = firstServer.connectionCount() > 0 ? firstServer : secondServer;
+        int connectionsBefore = server.connectionCount();
+        assertNull(
+                server.awaitMessage(MessageType.TEST, 4500), "the server was silent for more than two note intervals");
+        assertTrue(server.connectionCount() > connectionsBefore, "a connection was opened");
         assertEquals(1, node.sessionCount());
     }
 
-    /** One set-up on a connection at a time; what finds none is not sent. */
+    /** Each connection takes one set-up at a time; a set-up that finds no connection is not sent. */
     @Test
-    void noConnectionCarriesMoreSetUpsThanTheSettingsAllow() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
-        TestConnection crowd = connectViewer();
+    void connectionCarriesAtMostMaxStreamsSetUps() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
+        TestConnection viewer = connectViewer();
         for (int i = 0; i < 40; i++) {
-            sendSetUp(crowd, "paid");
+            sendSetUp(viewer, "paid");
         }
-        Set<TestConnection> used = new HashSet<>();
-        int sent = 0;
-        for (ScriptedServer.ReceivedMessage got = awaitSetUpAtServers(); got != null; got = awaitSetUpAtServers()) {
-            used.add(got.connection());
-            sent++;
+        Set<TestConnection> usedConnections = new HashSet<>();
+        int setUps = 0;
+        for (ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
+                received != null;
+                received = awaitSetUpAtServers()) {
+            usedConnections.add(received.connection());
+            setUps++;
         }
-        assertEquals(used.size(), sent);
-        assertNotNull(crowd.awaitMessage(TIMEOUT_MS), "the others are turned away");
+        assertEquals(usedConnections.size(), setUps);
+        assertNotNull(viewer.awaitMessage(TIMEOUT_MS), "the other set-ups are refused");
     }
 }
--- a/node/src/test/java/spanrill/node/TestConnection.java
+++ b/node/src/test/java/spanrill/node/TestConnection.java
@@ -16,19 +16,18 @@
 import spanrill.wire.platform.MessageDecoder;
 
 /**
- * One end of a connection that speaks the platform's protocol, for tests: blocking, with a reader of its
- * own.
+ * One end of a connection in the platform's protocol, for tests. Writes block; a thread of its own reads.
  */
 final class TestConnection implements AutoCloseable {
     private final Socket socket;
-    private final BlockingQueue<Message> read = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
     private volatile Runnable beforeClose = () -> {};
 
-    /** Reads until the end; {@code heard} takes each message first, on the reader's thread. */
-    TestConnection(Socket socket, BiConsumer<TestConnection, Message> heard) {
+    /** Reads until the end; {@code onMessage} gets each message first, on the reader's thread. */
+    TestConnection(Socket socket, BiConsumer<TestConnection, Message> onMessage) {
         this.socket = socket;
-        Thread reader = new Thread(() -> run(heard), "wire");
+        Thread reader = new Thread(() -> readUntilEnd(onMessage), "wire");
         reader.setDaemon(true);
         reader.start();
     }
@@ -36,10 +35,10 @@
     static TestConnection connect(int port) throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setTcpNoDelay(true);
-        return new TestConnection(socket, (wire, message) -> {});
+        return new TestConnection(socket, (connection, message) -> {});
     }
 
-    /** One that reads nothing until it is told to, with a small buffer for what comes. */
+    /** Connects with a receive buffer of {@code buffer} bytes and reads nothing before {@link #startReading}. */
     static TestConnection connectWithoutReading(int port, int buffer) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(buffer);
@@ -48,7 +47,7 @@
         return new TestConnection(socket);
     }
 
-    /** True when no connection can be had there. */
+    /** True when a connection to the port is refused. */
     static boolean isConnectionRefused(int port) throws IOException {
         try {
             new Socket("127.0.0.1", port).close();
@@ -62,35 +61,35 @@
         this.socket = socket;
     }
 
-    /** Reads from now on. */
+    /** Starts the reader. */
     void startReading() {
-        Thread reader = new Thread(() -> run((wire, message) -> {}), "wire");
+        Thread reader = new Thread(() -> readUntilEnd((connection, message) -> {}), "wire");
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void run(BiConsumer<TestConnection, Message> heard) {
+    private void readUntilEnd(BiConsumer<TestConnection, Message> onMessage) {
         MessageDecoder decoder = new MessageDecoder();
-        byte[] part = new byte[4096];
+        byte[] buffer = new byte[4096];
         try {
-            for (int n = socket.getInputStream().read(part);
-                    n >= 0;
-                    n = socket.getInputStream().read(part)) {
-                decoder.feed(Unpooled.wrappedBuffer(part, 0, n), message -> {
-                    heard.accept(this, message);
-                    return read.add(message);
+            for (int length = socket.getInputStream().read(buffer);
+                    length >= 0;
+                    length = socket.getInputStream().read(buffer)) {
+                decoder.feed(Unpooled.wrappedBuffer(buffer, 0, length), message -> {
+                    onMessage.accept(this, message);
+                    return received.add(message);
                 });
             }
-            // As usual clients and servers do when the other side is done.
+            // Clients and servers usually close when the other side has closed.
             beforeClose.run();
             socket.close();
-            ended.add("closed");
+            ends.add("closed");
         } catch (IOException | MalformedFrameException e) {
-            ended.add("reset");
+            ends.add("reset");
         }
     }
 
-    /** Runs when the other side has ended the connection, before this side closes it too. */
+    /** Sets an action that runs when the other side has closed the connection, before this side closes it. */
     void beforeClose(Runnable action) {
         beforeClose = action;
     }
@@ -106,31 +105,31 @@
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
         } catch (IOException e) {
-            // The test sees it by what does not come back.
+            // The test notices it by the missing response.
         }
     }
 
-    /** The next message, or null when none came in time. */
+    /** The next message, or null when none arrives in time. */
     Message awaitMessage(long ms) throws InterruptedException {
-        return read.poll(ms, TimeUnit.MILLISECONDS);
+        return received.poll(ms, TimeUnit.MILLISECONDS);
     }
 
-    /** True when the other side ended the connection in time. */
+    /** True when the other side ends the connection in time. */
     boolean awaitEnd(long ms) throws InterruptedException {
-        String end = ended.poll(ms, TimeUnit.MILLISECONDS);
+        String end = ends.poll(ms, TimeUnit.MILLISECONDS);
         if (end != null) {
-            ended.add(end);
+            ends.add(end);
         }
         return end != null;
     }
 
-    /** Ends it with a reset. */
+    /** Ends the connection with a reset. */
     void reset() {
         try {
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // It is over either way.
+            // The connection has ended in either case.
         }
     }
 
@@ -139,7 +138,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is over either way.
+            // The connection has ended in either case.
         }
     }
 }
--- a/node/src/test/java/spanrill/node/session/SessionHostTest.java
+++ b/node/src/test/java/spanrill/node/session/SessionHostTest.java
@@ -31,22 +31,22 @@
 import spanrill.wire.platform.RequestAttributes;
 import spanrill.wire.platform.SetUp;
 
-/** The host on a clock that the test moves, with peers that do what the test says. */
+/** Tests the session host on a manual clock, with fake servers and a fake client connection. */
 class SessionHostTest {
     private static final Settings SETTINGS = settings();
     private final ManualClock clock = new ManualClock();
-    private final Far far = new Far();
-    private final Near near = new Near();
-    private Near other;
+    private final FakeServerSide serverSide = new FakeServerSide();
+    private final FakeClientLink client = new FakeClientLink();
+    private FakeClientLink otherClient;
     private final SessionHost host = new SessionHost(
             SETTINGS,
             clock,
             EventSink.none(),
             EventSink.none(),
-            far,
-            () -> other,
+            serverSide,
+            () -> otherClient,
             actions -> new Control(SETTINGS, 7, actions));
-    private long ids;
+    private long lastId;
 
     SessionHostTest() {
         host.start();
@@ -59,31 +59,31 @@
     }
 
     private static Settings settings() {
-        FlattenedObject pairs = JsonPairs.read(TestConfig.bytes(1, 2, List.of()));
-        return new SettingsReader(pairs.section("settings.")).settings();
+        FlattenedObject config = JsonPairs.read(TestConfig.bytes(1, 2, List.of()));
+        return new SettingsReader(config.section("settings.")).settings();
     }
 
-    private static final class Far implements ServerSide {
-        private final List<Attempt> out = new ArrayList<>();
-        private final List<String> said = new ArrayList<>();
-        private boolean unwritten;
+    private static final class FakeServerSide implements ServerSide {
+        private final List<Attempt> openAttempts = new ArrayList<>();
+        private final List<String> calls = new ArrayList<>();
+        private boolean nothingWritten;
 
         @Override
         public void setUp(Attempt attempt) {
-            out.add(attempt);
-            said.add("setUp " + attempt.server());
+            openAttempts.add(attempt);
+            calls.add("setUp " + attempt.server());
         }
 
         @Override
         public boolean giveUp(Attempt attempt) {
-            out.remove(attempt);
-            said.add("giveUp");
-            return unwritten;
+            openAttempts.remove(attempt);
+            calls.add("giveUp");
+            return nothingWritten;
         }
 
         @Override
         public void release(String server, long session) {
-            said.add("release " + session);
+            calls.add("release " + session);
         }
 
         @Override
@@ -93,22 +93,22 @@
         public void setEstablishedSessions(String server, int sessions) {}
     }
 
-    private static final class Near implements ClientLink {
-        private final List<String> heard = new ArrayList<>();
+    private static final class FakeClientLink implements ClientLink {
+        private final List<String> messages = new ArrayList<>();
         private final List<Long> withdrawn = new ArrayList<>();
         private byte[] description;
-        private boolean open = true;
-        private int standing;
+        private boolean writable = true;
+        private int establishedSessions;
 
         @Override
         public boolean isWritable() {
-            return open;
+            return writable;
         }
 
         @Override
-        public void sendAnswer(long session, byte[] told) {
-            heard.add("answer " + session);
-            description = told;
+        public void sendAnswer(long session, byte[] answeredDescription) {
+            messages.add("answer " + session);
+            description = answeredDescription;
         }
 
         @Override
@@ -117,366 +117,387 @@
         }
 
         @Override
-        public void sendRelease(long session, ReleaseReason end, double stayAwayMs) {
-            heard.add(end + " " + session + (stayAwayMs > 0 ? " away" : ""));
+        public void sendRelease(long session, ReleaseReason reason, double stayAwayMs) {
+            messages.add(reason + " " + session + (stayAwayMs > 0 ? " stayAway" : ""));
         }
 
         @Override
-        public void establishedSessionsChanged(boolean more) {
-            standing += more ? 1 : -1;
+        public void establishedSessionsChanged(boolean added) {
+            establishedSessions += added ? 1 : -1;
         }
 
         @Override
         public void sendMove(long session) {
-            heard.add("move " + session);
+            messages.add("move " + session);
         }
     }
 
-    private static SetUp asked(long id, String className, String at) {
+    private static SetUp newSetUp(long id, String className, String server) {
         return new SetUp(
                 id,
                 className,
                 1000,
                 "000000000000000a",
-                new RequestAttributes(0, 1, 2, String.format("%016x", id), false, at),
+                new RequestAttributes(0, 1, 2, String.format("%016x", id), false, server),
                 new byte[] {1});
     }
 
-    private long ask(String className) {
-        long id = ++ids;
-        host.setUp(asked(id, className, null), near, 1000);
+    private long sendSetUp(String className) {
+        long id = ++lastId;
+        host.setUp(newSetUp(id, className, null), client, 1000);
         return id;
     }
 
-    private Attempt out() {
-        return far.out.get(far.out.size() - 1);
+    private Attempt lastAttempt() {
+        return serverSide.openAttempts.get(serverSide.openAttempts.size() - 1);
     }
 
     @Test
-    void aSessionIsSetUpAnsweredAndReleased() {
-        long id = ask("free");
-        host.onAnswer(out(), new byte[] {9});
-        assertArrayEquals(new byte[] {9}, near.description);
-        host.onSessionEnded(out().server(), id, Outcome.OK, null);
+    void releaseIsSentWhenAnsweredSessionEnds() {
+        long id = sendSetUp("free");
+        host.onAnswer(lastAttempt(), new byte[] {9});
+        assertArrayEquals(new byte[] {9}, client.description);
+        host.onSessionEnded(lastAttempt().server(), id, Outcome.OK, null);
         host.onReleaseAcknowledged(id);
         clock.advance(9000);
-        assertEquals(List.of("answer 1", "OVER 1"), near.heard);
+        assertEquals(List.of("answer 1", "OVER 1"), client.messages);
         assertEquals(0, host.sessionCount());
     }
 
     @Test
-    void secondAnswersAndSecondEndsAreNothing() {
-        long id = ask("free");
-        Attempt attempt = out();
+    void duplicateAnswerAndDuplicateEndAreIgnored() {
+        long id = sendSetUp("free");
+        Attempt attempt = lastAttempt();
         host.onAnswer(attempt, new byte[0]);
         host.onAnswer(attempt, new byte[0]);
         host.onAttemptEnded(attempt, Outcome.RESET, null);
         host.onSessionEnded(attempt.server(), id, Outcome.OK, null);
         host.onSessionEnded(attempt.server(), id, Outcome.OK, null);
-        assertEquals(List.of("answer 1", "OVER 1"), near.heard);
+        assertEquals(List.of("answer 1", "OVER 1"), client.messages);
     }
 
-    /** Two guards: a late give-up leaves before a further attempt, and the answer to it is not passed on. */
+    /** The give-up is sent before the next attempt, and a late answer to the first attempt is not forwarded. */
     @Test
-    void aTimeOutIsGivenUpBeforeTheNextAttempt() {
-        ask("free");
-        Attempt first = out();
-        clock.runUntil(() -> far.said.size() >= 3, 1000);
-        assertEquals("giveUp", far.said.get(1));
-        assertTrue(far.said.get(2).startsWith("setUp") && !far.said.get(2).equals(far.said.get(0)));
+    void timedOutAttemptIsGivenUpBeforeNextAttempt() {
+        sendSetUp("free");
+        Attempt first = lastAttempt();
+        clock.runUntil(() -> serverSide.calls.size() >= 3, 1000);
+        assertEquals("giveUp", serverSide.calls.get(1));
+        assertTrue(serverSide.calls.get(2).startsWith("setUp")
+                && !serverSide.calls.get(2).equals(serverSide.calls.get(0)));
         host.onAnswer(first, new byte[0]);
-        assertTrue(near.heard.isEmpty(), "the first attempt was given up");
+        assertTrue(client.messages.isEmpty(), "answer to the attempt that was given up");
     }
 
-    /** What came in time but lay unread when the timer ran is read first: one more round of the loop. */
+    /** An answer may have arrived in time and be unread when the timer fires; it is read in the next loop iteration. */
     @Test
-    void anAnswerReadJustAfterTheTimeOutStillCounts() {
-        ask("free");
-        Attempt attempt = out();
-        clock.runUntil(() -> clock.now() >= attempt.until(), 1000);
+    void answerReadOneIterationAfterDeadlineIsAccepted() {
+        sendSetUp("free");
+        Attempt attempt = lastAttempt();
+        clock.runUntil(() -> clock.now() >= attempt.deadline(), 1000);
         host.onAnswer(attempt, new byte[0]);
         clock.advance(2000);
-        assertEquals(List.of("answer 1"), near.heard);
+        assertEquals(List.of("answer 1"), client.messages);
     }
 
     @Test
-    void aPaidSessionThatMayHaveRunFailsAndIsNotSentAgain() {
-        ask("paid");
-        host.onAttemptEnded(out(), Outcome.RESET, null);
-        assertEquals(List.of("FAILED 1"), near.heard);
-        assertEquals(1, far.said.size());
-        ask("paid");
-        host.onAttemptEnded(out(), Outcome.CONNECT_FAILED, null);
-        assertEquals(3, far.said.size(), "never ran: sent elsewhere");
+    void paidSetUpIsRetriedOnlyWithProofThatItNeverRan() {
+        sendSetUp("paid");
+        host.onAttemptEnded(lastAttempt(), Outcome.RESET, null);
+        assertEquals(List.of("FAILED 1"), client.messages);
+        assertEquals(1, serverSide.calls.size());
+        sendSetUp("paid");
+        host.onAttemptEnded(lastAttempt(), Outcome.CONNECT_FAILED, null);
+        assertEquals(3, serverSide.calls.size(), "retried elsewhere, since the set-up never ran");
     }
 
     @Test
-    void theDeadlineIsAnsweredOnceWithTheAttemptGivenUp() {
-        ask("paid");
+    void deadlineFailsRequestOnceAndGivesUpAttempt() {
+        sendSetUp("paid");
         clock.advance(1100);
-        assertEquals(List.of("FAILED 1"), near.heard);
-        assertTrue(far.said.contains("giveUp"));
+        assertEquals(List.of("FAILED 1"), client.messages);
+        assertTrue(serverSide.calls.contains("giveUp"));
         assertEquals(0, host.sessionCount());
     }
 
-    /** Guards against a module that forgets: the host answers and ends what is out. */
+    /** If the module never answers, the host fails the request and gives up its attempt. */
     @Test
-    void aModuleThatSaysNothingIsAnsweredFor() {
-        SessionHost alone = new SessionHost(
-                SETTINGS, clock, EventSink.none(), EventSink.none(), far, () -> null, actions -> new Silent());
-        alone.setUp(asked(77, "free", null), near, 500);
+    void requestFailsAfterDeadlineWhenModuleStaysSilent() {
+        SessionHost passiveHost = new SessionHost(
+                SETTINGS,
+                clock,
+                EventSink.none(),
+                EventSink.none(),
+                serverSide,
+                () -> null,
+                actions -> new PassiveModule());
+        passiveHost.setUp(newSetUp(77, "free", null), client, 500);
         clock.advance(600);
-        assertEquals(List.of("FAILED 77"), near.heard);
+        assertEquals(List.of("FAILED 77"), client.messages);
     }
 
-    /** Nothing of it was written before its time was up: that proves that a paid session never ran. */
+    /** No byte of the set-up was written before its deadline, which proves that it never ran. */
     @Test
-    void aPaidAttemptThatWaitedInVainIsRefusedNotFailed() {
-        far.unwritten = true;
-        long id = ask("paid");
+    void paidAttemptThatWasNeverWrittenIsRefusedAtDeadline() {
+        serverSide.nothingWritten = true;
+        long id = sendSetUp("paid");
         clock.advance(1100);
-        assertEquals(1, near.heard.size());
-        assertTrue(near.heard.get(0).startsWith("REFUSED " + id), near.heard.toString());
+        assertEquals(1, client.messages.size());
+        assertTrue(client.messages.get(0).startsWith("REFUSED " + id), client.messages.toString());
     }
 
-    /** After a start the server's word comes on its first connection, perhaps before the session is told of. */
+    /** After a start, a server may report the end of a session before the session is handed over to the node. */
     @Test
-    void aSessionThatEndedBeforeItWasHandedOverIsReleasedAtOnce() {
+    void sessionThatEndedBeforeTakeOverIsReleasedAtOnce() {
         host.onSessionEnded("s-1", 7, Outcome.OK, null);
         host.onSessionEnded("s-1", 8, Outcome.CANCELLED, null);
-        host.takeOver(asked(7, "free", "s-1"), near);
-        host.takeOver(asked(8, "free", "s-1"), near);
-        assertEquals(List.of("OVER 7"), near.heard);
+        host.takeOver(newSetUp(7, "free", "s-1"), client);
+        host.takeOver(newSetUp(8, "free", "s-1"), client);
+        assertEquals(List.of("OVER 7"), client.messages);
         assertEquals(1, host.sessionCount());
     }
 
-    /** Before a stop ends: each request has its answer, its attempt is given up, and none takes longer. */
+    /**
+     * Before the process ends each request is answered, open attempts are given up, and no new attempt lasts longer.
+     */
     @Test
-    void answersAllThatIsOpenBeforeTheProcessEnds() {
-        ask("paid");
+    void openRequestsAreFailedBeforeProcessEnds() {
+        sendSetUp("paid");
         host.answerWithin(100);
-        ask("free");
-        assertTrue(far.out.stream().skip(1).allMatch(attempt -> attempt.until() <= clock.now() + 100));
+        sendSetUp("free");
+        assertTrue(
+                serverSide.openAttempts.stream().skip(1).allMatch(attempt -> attempt.deadline() <= clock.now() + 100));
         clock.advance(99);
         assertEquals(2, host.openRequests());
         clock.advance(1);
         assertEquals(0, host.openRequests());
-        assertEquals(List.of("FAILED 1", "FAILED 2"), near.heard);
-        assertEquals(2, far.said.stream().filter("giveUp"::equals).count());
+        assertEquals(List.of("FAILED 1", "FAILED 2"), client.messages);
+        assertEquals(2, serverSide.calls.stream().filter("giveUp"::equals).count());
     }
 
     @Test
-    void aViewerThatGivesUpIsOwedNothingAndItsAttemptEnds() {
-        long id = ask("free");
+    void withdrawnSetUpGetsNoAnswerAndItsAttemptIsGivenUp() {
+        long id = sendSetUp("free");
         assertTrue(host.onClientRelease(id));
         assertFalse(host.onClientRelease(id));
-        assertEquals("giveUp", far.said.get(1));
-        ask("free");
+        assertEquals("giveUp", serverSide.calls.get(1));
+        sendSetUp("free");
         host.onClientConnectionEnded(List.of(2L));
         clock.advance(2000);
-        assertTrue(near.heard.isEmpty());
+        assertTrue(client.messages.isEmpty());
         assertEquals(0, host.sessionCount());
     }
 
     @Test
-    void aViewerEndsItsSessionAtItsServer() {
-        long id = ask("free");
-        host.onAnswer(out(), new byte[0]);
+    void sessionReleasedByViewerIsReleasedAtServer() {
+        long id = sendSetUp("free");
+        host.onAnswer(lastAttempt(), new byte[0]);
         host.onClientRelease(id);
-        assertTrue(far.said.contains("release 1"));
-        host.onSessionEnded(out().server(), id, Outcome.CANCELLED, null);
-        assertEquals(List.of("answer 1", "OVER 1"), near.heard, "its give-up may have crossed the answer");
+        assertTrue(serverSide.calls.contains("release 1"));
+        host.onSessionEnded(lastAttempt().server(), id, Outcome.CANCELLED, null);
+        assertEquals(
+                List.of("answer 1", "OVER 1"), client.messages, "the viewer's release may have crossed the answer");
     }
 
-    /** A session belongs to no connection: where its own is gone another tells, or the next that serves. */
+    /** A session is not bound to a connection: another one takes its release, or the next one that is ready. */
     @Test
-    void theEndOfASessionFindsAnotherConnection() {
-        long first = ask("free");
-        host.onAnswer(out(), new byte[0]);
-        long second = ask("free");
-        host.onAnswer(out(), new byte[0]);
-        near.open = false;
-        other = new Near();
-        host.onSessionEnded(far.out.get(0).server(), first, Outcome.OK, null);
-        assertEquals(List.of("OVER 1"), other.heard);
-        other = null;
-        host.onSessionEnded(far.out.get(1).server(), second, Outcome.RESET, null);
-        Near next = new Near();
+    void releaseIsSentOnAnotherConnectionWhenOwnIsNotWritable() {
+        long first = sendSetUp("free");
+        host.onAnswer(lastAttempt(), new byte[0]);
+        long second = sendSetUp("free");
+        host.onAnswer(lastAttempt(), new byte[0]);
+        client.writable = false;
+        otherClient = new FakeClientLink();
+        host.onSessionEnded(serverSide.openAttempts.get(0).server(), first, Outcome.OK, null);
+        assertEquals(List.of("OVER 1"), otherClient.messages);
+        otherClient = null;
+        host.onSessionEnded(serverSide.openAttempts.get(1).server(), second, Outcome.RESET, null);
+        FakeClientLink next = new FakeClientLink();
         host.onClientConnectionReady(next);
         host.onClientConnectionReady(next);
-        assertEquals(List.of("CUT 2"), next.heard);
-        other = next;
+        assertEquals(List.of("CUT 2"), next.messages);
+        otherClient = next;
         clock.advance(450);
-        assertEquals(List.of("CUT 2", "OVER 1", "CUT 2"), next.heard, "not heard: again");
+        assertEquals(List.of("CUT 2", "OVER 1", "CUT 2"), next.messages, "unacknowledged releases are sent again");
         host.onReleaseAcknowledged(1);
         host.onReleaseAcknowledged(2);
         clock.advance(9000);
-        assertEquals(3, next.heard.size());
+        assertEquals(3, next.messages.size());
     }
 
     /**
-     * Guards against a look for each release that piles up: they would take the node's time over a long
-     * day.
+     * Guards against one timer for each release: the timers would accumulate and take the node's time during a long
+     * run.
      */
     @Test
-    void whatIsOwedIsLookedAtOnceAtATime() {
-        int before = clock.pendingTimers();
+    void pendingReleasesShareOneTimer() {
+        int timersBefore = clock.pendingTimers();
         for (int i = 0; i < 50; i++) {
-            long id = ask("free");
-            host.onAnswer(out(), new byte[0]);
-            host.onSessionEnded(out().server(), id, Outcome.OK, null);
+            long id = sendSetUp("free");
+            host.onAnswer(lastAttempt(), new byte[0]);
+            host.onSessionEnded(lastAttempt().server(), id, Outcome.OK, null);
             host.onReleaseAcknowledged(id);
         }
-        long last = ask("free");
-        host.onAnswer(out(), new byte[0]);
-        host.onSessionEnded(out().server(), last, Outcome.OK, null);
+        long last = sendSetUp("free");
+        host.onAnswer(lastAttempt(), new byte[0]);
+        host.onSessionEnded(lastAttempt().server(), last, Outcome.OK, null);
         clock.advance(150);
-        assertTrue(clock.pendingTimers() <= before + 1, "timers: " + before + " then " + clock.pendingTimers());
+        assertTrue(
+                clock.pendingTimers() <= timersBefore + 1,
+                "timers: " + timersBefore + " then " + clock.pendingTimers());
     }
 
     @Test
-    void sessionsOfAStartStandAndEndWithTheirServer() {
-        host.takeOver(asked(50, "free", "s-2"), near);
-        host.takeOver(asked(51, "free", "s-9"), near);
+    void takenOverSessionsEndWhenTheirServerIsLost() {
+        host.takeOver(newSetUp(50, "free", "s-2"), client);
+        host.takeOver(newSetUp(51, "free", "s-9"), client);
         host.onServerLost("s-2");
         host.onServerLost("s-9");
-        assertEquals(List.of("CUT 50", "CUT 51"), near.heard);
-        assertEquals(0, near.standing);
+        assertEquals(List.of("CUT 50", "CUT 51"), client.messages);
+        assertEquals(0, client.establishedSessions);
     }
 
     /**
-     * The server of a session may be listed late; one that never is does not exist, and nothing stands
-     * there.
+     * The server of a session may be listed late. A server that is never listed does not exist and holds no sessions.
      */
     @Test
-    void sessionsAtAServerThatIsNeverListedEnd() {
-        host.takeOver(asked(50, "free", "s-8"), near);
-        host.takeOver(asked(51, "free", "s-9"), near);
+    void takenOverSessionEndsWhenItsServerIsNeverListed() {
+        host.takeOver(newSetUp(50, "free", "s-8"), client);
+        host.takeOver(newSetUp(51, "free", "s-9"), client);
         clock.advance(3000);
-        assertEquals(2, near.standing);
+        assertEquals(2, client.establishedSessions);
         host.updateServers(
                 ListKind.CHANGES, List.of(new Server("s-8", "a", "std", 0, ServerState.READY, 1, Double.NaN)));
         clock.advance(3500);
-        assertEquals(List.of("CUT 51"), near.heard.subList(0, 1));
-        assertEquals(1, near.standing);
+        assertEquals(List.of("CUT 51"), client.messages.subList(0, 1));
+        assertEquals(1, client.establishedSessions);
     }
 
     @Test
-    void aServerThatStartedAnewHasLostWhatStoodThere() {
-        host.takeOver(asked(50, "free", "s-2"), near);
+    void serverRestartEndsSessionsEstablishedBeforeIt() {
+        host.takeOver(newSetUp(50, "free", "s-2"), client);
         host.onServerRestarted("s-2", clock.now() - 10);
-        assertTrue(near.heard.isEmpty(), "it stands since after the start");
+        assertTrue(client.messages.isEmpty(), "the session was established after the start");
         host.onServerRestarted("s-2", clock.now() + 10);
-        assertEquals(List.of("CUT 50"), near.heard);
+        assertEquals(List.of("CUT 50"), client.messages);
     }
 
     /**
-     * Guards against a move off a server that has ended before: its viewer would wait for the server's word
-     * for good. Seen on days whose servers are replaced.
+     * Guards against a move off a server that has already ended: without the release the viewer would wait forever for
+     * the server to confirm. Happens when servers are replaced.
      */
     @Test
-    void aMoveThatTheServerDoesNotConfirmIsFollowedByARelease() {
-        SessionHost[] moved = new SessionHost[1];
-        Silent module = new Silent();
-        moved[0] = new SessionHost(SETTINGS, clock, EventSink.none(), EventSink.none(), far, () -> null, actions -> {
-            module.actions = actions;
-            return module;
-        });
-        moved[0].takeOver(asked(60, "free", "s-1"), near);
-        moved[0].takeOver(asked(61, "free", "s-1"), near);
+    void unconfirmedMoveIsFollowedByRelease() {
+        SessionHost[] hosts = new SessionHost[1];
+        PassiveModule module = new PassiveModule();
+        hosts[0] = new SessionHost(
+                SETTINGS, clock, EventSink.none(), EventSink.none(), serverSide, () -> null, actions -> {
+                    module.actions = actions;
+                    return module;
+                });
+        hosts[0].takeOver(newSetUp(60, "free", "s-1"), client);
+        hosts[0].takeOver(newSetUp(61, "free", "s-1"), client);
         module.actions.move(String.format("%016x", 60));
         module.actions.move(String.format("%016x", 61));
-        moved[0].onSessionEnded("s-1", 60, Outcome.CANCELLED, null);
+        hosts[0].onSessionEnded("s-1", 60, Outcome.CANCELLED, null);
         clock.advance(1000);
-        assertEquals(List.of("move 60", "move 61", "CUT 61"), near.heard);
-        assertTrue(far.said.contains("release 61") && !far.said.contains("release 60"));
+        assertEquals(List.of("move 60", "move 61", "CUT 61"), client.messages);
+        assertTrue(serverSide.calls.contains("release 61") && !serverSide.calls.contains("release 60"));
     }
 
     @Test
-    void notesForASessionElsewhereOrOffTheLadderAreDropped() {
-        Silent module = new Silent();
-        SessionHost told = new SessionHost(
-                SETTINGS, clock, EventSink.none(), EventSink.none(), far, () -> null, actions -> module);
-        told.takeOver(asked(60, "free", "s-1"), near);
-        told.onNote("s-2", 60, NoteKind.DELIVERED, 0.5);
-        told.onNote("s-1", 60, NoteKind.RUNG, 3);
-        told.onNote("s-1", 60, NoteKind.RUNG, 0.5);
+    void notesOfOtherServersOrWithInvalidRungsAreDropped() {
+        PassiveModule module = new PassiveModule();
+        SessionHost passiveHost = new SessionHost(
+                SETTINGS, clock, EventSink.none(), EventSink.none(), serverSide, () -> null, actions -> module);
+        passiveHost.takeOver(newSetUp(60, "free", "s-1"), client);
+        passiveHost.onNote("s-2", 60, NoteKind.DELIVERED, 0.5);
+        passiveHost.onNote("s-1", 60, NoteKind.RUNG, 3);
+        passiveHost.onNote("s-1", 60, NoteKind.RUNG, 0.5);
         assertEquals(0, module.notes);
-        told.onNote("s-1", 60, NoteKind.RUNG, 2);
+        passiveHost.onNote("s-1", 60, NoteKind.RUNG, 2);
         assertEquals(1, module.notes);
     }
 
     /**
-     * Any order of events: one answer each, one attempt out, no paid set-up again without proof, nothing
-     * left.
+     * For any order of events: at most one answer and one open attempt for each request, no retry of a paid set-up
+     * without proof that it never ran, and no open request or attempt at the end.
      */
     @Property(tries = 100, seed = "20261201")
-    void anyOrderOfEventsKeepsTheRules(@ForAll long seed) {
-        // The tries of a property share one instance; each needs a host of its own.
-        new SessionHostTest().anyOrder(seed);
+    void requestRulesHoldForAnyOrderOfEvents(@ForAll long seed) {
+        // All tries of a property share one test instance, but each try needs its own host.
+        new SessionHostTest().checkRandomEvents(seed);
     }
 
-    private void anyOrder(long seed) {
+    private void checkRandomEvents(long seed) {
         Random random = new Random(seed);
         Map<Long, Boolean> unproven = new HashMap<>();
-        Map<Long, String> classes = new HashMap<>();
+        Map<Long, String> classesById = new HashMap<>();
         for (int step = 0; step < 400; step++) {
-            int seen = far.said.size();
-            int pick = random.nextInt(10);
-            Attempt attempt = far.out.isEmpty() ? null : far.out.get(random.nextInt(far.out.size()));
-            if (pick < 3) {
-                String name = random.nextBoolean() ? "paid" : "free";
-                classes.put(ids + 1, name);
-                ask(name);
-            } else if (pick < 5 && attempt != null) {
-                far.out.remove(attempt);
+            int callsBefore = serverSide.calls.size();
+            int event = random.nextInt(10);
+            Attempt attempt = serverSide.openAttempts.isEmpty()
+                    ? null
+                    : serverSide.openAttempts.get(random.nextInt(serverSide.openAttempts.size()));
+            if (event < 3) {
+                String className = random.nextBoolean() ? "paid" : "free";
+                classesById.put(lastId + 1, className);
+                sendSetUp(className);
+            } else if (event < 5 && attempt != null) {
+                serverSide.openAttempts.remove(attempt);
                 host.onAnswer(attempt, new byte[0]);
-            } else if (pick < 8 && attempt != null) {
-                far.out.remove(attempt);
+            } else if (event < 8 && attempt != null) {
+                serverSide.openAttempts.remove(attempt);
                 Outcome outcome = List.of(
                                 Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT)
                         .get(random.nextInt(5));
                 unproven.merge(attempt.session(), !outcome.neverRan(), Boolean::logicalOr);
                 host.onAttemptEnded(attempt, outcome, null);
-            } else if (pick == 8 && ids > 0) {
-                host.onClientRelease(1 + random.nextInt((int) ids));
+            } else if (event == 8 && lastId > 0) {
+                host.onClientRelease(1 + random.nextInt((int) lastId));
             } else {
                 clock.advance(random.nextInt(300));
             }
             assertEquals(
-                    far.out.size(),
-                    far.out.stream().map(Attempt::session).distinct().count(),
-                    "one attempt out");
-            for (Attempt open :
-                    far.out.subList(Math.max(0, far.out.size() - (far.said.size() - seen)), far.out.size())) {
+                    serverSide.openAttempts.size(),
+                    serverSide.openAttempts.stream()
+                            .map(Attempt::session)
+                            .distinct()
+                            .count(),
+                    "one open attempt for each session");
+            for (Attempt newAttempt : serverSide.openAttempts.subList(
+                    Math.max(0, serverSide.openAttempts.size() - (serverSide.calls.size() - callsBefore)),
+                    serverSide.openAttempts.size())) {
                 assertFalse(
-                        classes.get(open.session()).equals("paid") && unproven.getOrDefault(open.session(), false),
-                        "sent again without proof");
+                        classesById.get(newAttempt.session()).equals("paid")
+                                && unproven.getOrDefault(newAttempt.session(), false),
+                        "retried without proof");
             }
         }
         clock.advance(5000);
-        for (long id = 1; id <= ids; id++) {
+        for (long id = 1; id <= lastId; id++) {
             String suffix = " " + id;
-            long answers = near.heard.stream()
-                    .filter(h -> h.equals("answer" + suffix)
-                            || h.startsWith("REFUSED" + suffix + " ")
-                            || h.equals("REFUSED" + suffix)
-                            || h.equals("FAILED" + suffix))
+            long answers = client.messages.stream()
+                    .filter(message -> message.equals("answer" + suffix)
+                            || message.startsWith("REFUSED" + suffix + " ")
+                            || message.equals("REFUSED" + suffix)
+                            || message.equals("FAILED" + suffix))
                     .count();
-            assertTrue(answers <= 1, "one answer to " + id);
-            if (unproven.getOrDefault(id, false) && classes.get(id).equals("paid")) {
+            assertTrue(answers <= 1, "more than one answer to session " + id);
+            if (unproven.getOrDefault(id, false) && classesById.get(id).equals("paid")) {
                 assertTrue(
-                        near.heard.stream()
-                                .noneMatch(h -> h.equals("REFUSED" + suffix) || h.startsWith("REFUSED" + suffix + " ")),
-                        "refused unproven");
+                        client.messages.stream()
+                                .noneMatch(message -> message.equals("REFUSED" + suffix)
+                                        || message.startsWith("REFUSED" + suffix + " ")),
+                        "refused without proof");
             }
         }
         assertEquals(0, host.openRequests());
-        assertTrue(far.out.isEmpty(), "nothing is left out");
+        assertTrue(serverSide.openAttempts.isEmpty(), "open attempts at the end");
     }
 
-    /** A module that never acts, or acts when the test says so. */
-    private static final class Silent implements SessionControl {
+    /** A module that never acts by itself; a test may call its actions. */
+    private static final class PassiveModule implements SessionControl {
         private Actions actions;
         private int notes;
 
