--- a/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
+++ b/node/src/test/java/spanrill/node/AcceptedRequestsTest.java
@@ -16,75 +16,78 @@
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageType;
 
-/** Every request that a connection delivered gets its final answer, whatever else happens on it. */
+/** Every request received on a client connection gets its final answer, whatever else the client or the node does. */
 class AcceptedRequestsTest extends FrontNodeTestBase {
-    /** More than any count of messages that the node tolerated on one connection in release e8d634c. */
-    private static final int MANY = 40;
-    /** The longest deadline of {@link TestConfig} and the protocol's 0.7 s. */
+    /** Release e8d634c closed connections at fixed message counts, all below this one, despite open requests. */
+    private static final int MESSAGE_COUNT = 40;
+    /** The platform kills a node after the longest deadline, here 1.5 s of {@link TestConfig}, plus 0.7 s. */
     private static final long KILL_MS = 1500 + 700;
 
-    private static final long PACE_MS = 30;
+    private static final long REQUEST_INTERVAL_MS = 30;
 
-    /** What clients do on a connection that they share with an open request. */
-    enum Habit {
-        /** They acknowledge each refusal. */
+    /** Behavior of a client on a connection that also has an open request. */
+    enum ClientBehavior {
+        /** Acknowledges each refusal. */
         ACKNOWLEDGES,
-        /** They cancel requests whose refusal is on its way. */
+        /** Cancels requests whose refusal is already under way. */
         CANCELS_LATE,
-        /** They send progress messages, which the protocol calls free. */
+        /** Sends progress messages, which the protocol does not count against a client. */
         REPORTS_PROGRESS,
-        /** They ask for a class that does not exist. */
+        /** Sends set-ups with a service class that does not exist. */
         ASKS_FOR_UNKNOWN_CLASSES,
-        /** They send the set-up of the open request a second time. */
+        /** Sends the set-up of the open request a second time. */
         REPEATS_THE_ID
     }
 
     @ParameterizedTest
     @EnumSource
-    void anOpenRequestOutlives(Habit habit) throws Exception {
-        long innocent = lastSessionId + 1;
+    void openRequestIsAnsweredDespiteOtherMessagesOnItsConnection(ClientBehavior behavior) throws Exception {
+        long openRequestId = lastSessionId + 1;
         CountDownLatch arrived = new CountDownLatch(1);
-        onSetUpAtBoth((wire, message) -> {
-            if (message.session() == innocent) {
+        onSetUpAtBoth((connection, message) -> {
+            if (message.session() == openRequestId) {
                 arrived.countDown();
             } else {
                 judge.nonExecutionProved(message.session());
-                wire.send(new Message(MessageType.RELEASE, message.session()).withCause(34));
+                connection.send(new Message(MessageType.RELEASE, message.session()).withCause(34));
             }
         });
         TestConnection client = connectViewer();
-        assertEquals(innocent, sendSetUp(client, "free"));
-        ScriptedServer.ReceivedMessage open = awaitSetUpAtServers();
+        assertEquals(openRequestId, sendSetUp(client, "free"));
+        ScriptedServer.ReceivedMessage openSetUp = awaitSetUpAtServers();
         assertTrue(arrived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        behave(habit, client, innocent);
+        sendOtherMessages(behavior, client, openRequestId);
         awaitLoopIterations();
         assertFalse(client.awaitEnd(100), "the connection stays open");
-        firstServer.sendAnswer(open.connection(), open.message());
+        firstServer.sendAnswer(openSetUp.connection(), openSetUp.message());
         Message answer = awaitAnswer(client, TIMEOUT_MS);
-        assertEquals(innocent, answer.session());
+        assertEquals(openRequestId, answer.session());
         assertEquals(MessageType.ANSWER, answer.type());
     }
 
-    private void behave(Habit habit, TestConnection client, long innocent) throws Exception {
-        if (habit == Habit.REPEATS_THE_ID) {
-            client.send(setUpMessage(innocent, "free", ""));
+    private void sendOtherMessages(ClientBehavior behavior, TestConnection client, long openRequestId)
+            throws Exception {
+        if (behavior == ClientBehavior.REPEATS_THE_ID) {
+            client.send(setUpMessage(openRequestId, "free", ""));
             return;
         }
-        for (int i = 0; i < MANY; i++) {
-            switch (habit) {
-                case ACKNOWLEDGES -> client.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, refused(client)));
-                case CANCELS_LATE -> client.send(new Message(MessageType.RELEASE, refused(client)).withCause(16));
+        for (int i = 0; i < MESSAGE_COUNT; i++) {
+            switch (behavior) {
+                case ACKNOWLEDGES ->
+                    client.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, sendRefusedRequest(client)));
+                case CANCELS_LATE ->
+                    client.send(new Message(MessageType.RELEASE, sendRefusedRequest(client)).withCause(16));
                 case ASKS_FOR_UNKNOWN_CLASSES -> {
                     client.send(setUpMessage(9000 + i, "gold", ""));
                     assertEquals(9000 + i, client.awaitMessage(TIMEOUT_MS).session());
                 }
-                default -> client.send(new Message(MessageType.PROGRESS, innocent));
+                default -> client.send(new Message(MessageType.PROGRESS, openRequestId));
             }
         }
     }
 
-    /** A request that both servers turn away. */
-    private long refused(TestConnection client) throws InterruptedException {
+    /** Sends a request that both servers refuse, awaits the refusal and returns the session id. */
+    private long sendRefusedRequest(TestConnection client) throws InterruptedException {
         long id = sendSetUp(client, "free");
         Message answer = awaitAnswer(client, TIMEOUT_MS);
         assertEquals(id, answer.session());
@@ -92,65 +95,70 @@
         return id;
     }
 
-    /** Both lie unread together: the repetition was sent before its client could know of the answer. */
+    /**
+     * Both set-ups are read in one loop iteration, so the client sent the second before it could receive the answer.
+     */
     @Test
-    void aRepetitionThatCrossesItsAnswerGetsNoSecondOne() throws Exception {
+    void repeatedSetUpThatCrossesTheAnswerGetsNoSecondAnswer() throws Exception {
         TestConnection client = connectViewer();
         whileLoopIsBlocked(() -> {
             client.send(setUpMessage(9001, "gold", ""));
             client.send(setUpMessage(9001, "free", ""));
         });
         assertEquals(100, client.awaitMessage(TIMEOUT_MS).cause());
-        assertNull(client.awaitMessage(100), "a second answer");
+        assertNull(client.awaitMessage(100), "no second answer");
         establishSession(client, "free");
     }
 
     /**
-     * Servers hang from some time after the stop, through the rest of it; clients go on using their
-     * connections until the kill.
+     * Servers stop answering {@code hangFromMs} after the start of the shutdown, while the client keeps sending
+     * requests until its connection ends.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 600, 1000})
-    void requestsDuringAShutdownAreAnsweredBeforeTheKill(int hangFromMs) throws Exception {
+    void requestsDuringShutdownAreAnsweredBeforeTheKill(int hangFromMs) throws Exception {
         TestConnection client = connectViewer();
         establishSession(client, "paid");
-        long stopped = System.nanoTime();
-        firstServer.onSetUp((wire, message) -> answerUntil(stopped, hangFromMs, firstServer, wire, message));
-        secondServer.onSetUp((wire, message) -> answerUntil(stopped, hangFromMs, secondServer, wire, message));
+        long shutdownStartNs = System.nanoTime();
+        firstServer.onSetUp(
+                (connection, message) -> answerUntil(shutdownStartNs, hangFromMs, firstServer, connection, message));
+        secondServer.onSetUp(
+                (connection, message) -> answerUntil(shutdownStartNs, hangFromMs, secondServer, connection, message));
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
-        int owed = 0;
-        while (!client.awaitEnd(PACE_MS) && msSince(stopped) < KILL_MS - 100) {
-            sendSetUp(client, owed % 2 == 0 ? "free" : "paid");
-            owed++;
+        int sent = 0;
+        while (!client.awaitEnd(REQUEST_INTERVAL_MS) && msSince(shutdownStartNs) < KILL_MS - 100) {
+            sendSetUp(client, sent % 2 == 0 ? "free" : "paid");
+            sent++;
         }
-        long left = KILL_MS - msSince(stopped);
-        assertTrue(done.await(Math.max(1, left), TimeUnit.MILLISECONDS), "the node ends before the kill");
-        // What crossed the end of the connection within 50 ms is sent again elsewhere.
-        int crossed = (int) (50 / PACE_MS) + 1;
+        long remainingMs = KILL_MS - msSince(shutdownStartNs);
+        assertTrue(done.await(Math.max(1, remainingMs), TimeUnit.MILLISECONDS), "the node shuts down before the kill");
+        // Clients resend requests that cross the end of the connection, which may take 50 ms, to another front.
+        int maxCrossed = (int) (50 / REQUEST_INTERVAL_MS) + 1;
         int answered = 0;
         for (Message next = client.awaitMessage(1); next != null; next = client.awaitMessage(1)) {
             judge.receivedByViewer(next);
             answered++;
         }
-        assertTrue(answered >= owed - crossed, answered + " of " + owed + " were answered");
+        assertTrue(answered >= sent - maxCrossed, answered + " of " + sent + " requests were answered");
     }
 
     private static void answerUntil(
-            long stopped, int hangFromMs, ScriptedServer server, TestConnection wire, Message message) {
-        if (msSince(stopped) < hangFromMs) {
-            server.sendAnswer(wire, message);
+            long shutdownStartNs, int hangFromMs, ScriptedServer server, TestConnection connection, Message message) {
+        if (msSince(shutdownStartNs) < hangFromMs) {
+            server.sendAnswer(connection, message);
         }
     }
 
     /**
-     * The last answer falls due while a request lies unread on its connection: that one is read first. The
-     * loop is held where it reads another connection, so that its timers run before it reads again.
+     * Guards against a request lost at the end of a shutdown: the last answer falls due while another request waits
+     * unread on the same connection, which must be read before the connection ends. The log blocks the loop while it
+     * reads another connection, so that timers run before the next read.
      */
     @Test
-    void aRequestUnreadBehindTheLastAnswerIsRefused() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
-        HoldingLog log = new HoldingLog("discovery.malformed");
+    void unreadRequestIsRefusedWhenTheLastAnswerFallsDue() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
+        BlockingLog log = new BlockingLog("discovery.malformed");
         NodeConfig config =
                 createConfig(discovery.port(), firstServer.listEntry("SERVING"), secondServer.listEntry("SERVING"));
         discovery.awaitRequest(TIMEOUT_MS);
@@ -160,31 +168,31 @@
         TestConnection client = connectViewer();
         node.stop(() -> {});
         assertNull(client.awaitMessage(850));
-        long last = sendSetUp(client, "paid");
-        assertNull(client.awaitMessage(1050), "open until 0.2 s before the kill");
+        long lastAnsweredId = sendSetUp(client, "paid");
+        assertNull(client.awaitMessage(1050), "the request stays open until 0.2 s before the kill");
         stream.write("id: 2\ndata: nonsense\n\n");
-        log.awaitHeld();
-        long unread = sendSetUp(client, "free");
+        log.awaitBlocked();
+        long unreadId = sendSetUp(client, "free");
         assertNull(client.awaitMessage(150));
         log.release();
-        assertEquals(last, awaitAnswer(client, TIMEOUT_MS).session());
+        assertEquals(lastAnsweredId, awaitAnswer(client, TIMEOUT_MS).session());
         Message refusal = awaitAnswer(client, TIMEOUT_MS);
-        assertEquals(unread, refusal.session());
+        assertEquals(unreadId, refusal.session());
         assertEquals(42, refusal.cause());
     }
 
-    /** Holds whoever logs an event until it is released. */
-    private static final class HoldingLog implements EventSink {
+    /** Blocks the thread that logs a given event until the test releases it. */
+    private static final class BlockingLog implements EventSink {
         private final String event;
-        private final CountDownLatch held = new CountDownLatch(1);
+        private final CountDownLatch blocked = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
 
-        HoldingLog(String event) {
+        BlockingLog(String event) {
             this.event = event;
         }
 
-        void awaitHeld() throws InterruptedException {
-            assertTrue(held.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        void awaitBlocked() throws InterruptedException {
+            assertTrue(blocked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
 
         void release() {
@@ -192,9 +200,9 @@
         }
 
         @Override
-        public void info(String what, Object... fields) {
-            if (what.equals(event)) {
-                held.countDown();
+        public void info(String loggedEvent, Object... fields) {
+            if (loggedEvent.equals(event)) {
+                blocked.countDown();
                 try {
                     released.await();
                 } catch (InterruptedException e) {
@@ -204,32 +212,35 @@
         }
 
         @Override
-        public void error(String what, Throwable cause, Object... fields) {}
+        public void error(String loggedEvent, Throwable cause, Object... fields) {}
     }
 
-    /** Nothing else tells clients to go elsewhere: what they send as the process ends would be lost. */
+    /**
+     * Guards against requests lost when the process ends: clients use another front only once their connection has
+     * ended.
+     */
     @Test
-    void noConnectionIsOpenWhenTheProcessEnds() throws Exception {
+    void allConnectionsAreEndedBeforeTheProcessEnds() throws Exception {
         TestConnection busy = connectViewer();
         TestConnection idle = connectViewer();
         establishSession(idle, "free");
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
-        int asked = 0;
-        while (!busy.awaitEnd(PACE_MS) && done.getCount() > 0) {
+        int sent = 0;
+        while (!busy.awaitEnd(REQUEST_INTERVAL_MS) && done.getCount() > 0) {
             sendSetUp(busy, "free");
-            asked++;
+            sent++;
             if (busy.awaitMessage(TIMEOUT_MS) == null) {
                 break;
             }
         }
-        assertTrue(asked > 10, "it serves while requests may come");
+        assertTrue(sent > 10, "the node serves while requests may arrive");
         assertTrue(done.await(KILL_MS, TimeUnit.MILLISECONDS));
         assertTrue(busy.awaitEnd(1), "the busy connection was ended before the process");
         assertTrue(idle.awaitEnd(1), "the idle connection was ended before the process");
     }
 
-    private static long msSince(long nanos) {
-        return (System.nanoTime() - nanos) / 1_000_000;
+    private static long msSince(long startNs) {
+        return (System.nanoTime() - startNs) / 1_000_000;
     }
 }
--- a/node/src/test/java/spanrill/node/FrontNodeTest.java
+++ b/node/src/test/java/spanrill/node/FrontNodeTest.java
@@ -16,16 +16,16 @@
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
 
-/** The node's whole path: calm service, servers that end, discovery, a stop. */
+/** End-to-end tests of the front node: regular service, servers that go away, discovery and shutdown. */
 class FrontNodeTest extends FrontNodeTestBase {
-    // ---- calm service
+    // ---- Regular service
 
     @Test
-    void aSessionIsSetUpPlaysAndIsReleased() throws Exception {
+    void sessionIsSetUpEstablishedAndReleased() throws Exception {
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "paid");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
-        Message setUp = got.message();
+        ScriptedServer.ReceivedMessage received = awaitSetUpAtServers();
+        Message setUp = received.message();
         assertEquals("paid", setUp.text(Parameter.CLASS));
         assertEquals("7f3a9c21e0b4d655", setUp.text(Parameter.TITLE));
         assertArrayEquals("v=0".getBytes(StandardCharsets.UTF_8), setUp.get(Parameter.DESCRIPTION));
@@ -34,13 +34,13 @@
         Message answer = awaitAnswer(viewer, TIMEOUT_MS);
         assertEquals(MessageType.ANSWER, answer.type());
         assertTrue(answer.text(Parameter.DESCRIPTION).endsWith("/" + id));
-        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        received.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
         assertEquals(16, viewer.awaitMessage(TIMEOUT_MS).cause());
         assertEquals(0, node.sessionCount());
     }
 
     @Test
-    void passesTheTestOfThePlatform() throws Exception {
+    void platformTestIsAnswered() throws Exception {
         TestConnection platform = connectViewer();
         platform.send(new Message(MessageType.TEST, 5).withCause(0));
         Message result = platform.awaitMessage(TIMEOUT_MS);
@@ -48,20 +48,20 @@
         assertEquals(1, result.cause());
     }
 
-    /** The wait of a session that plays already is no time; the session must not be refused for that. */
+    /** A set-up of an established session has the wait "inf"; the session must not be refused for that. */
     @Test
-    void sessionsOfAStartAreHeldAndReleasedOnAnyConnection() throws Exception {
+    void sessionsTakenOverAfterAStartAreKeptAndReleasedOnAnyConnection() throws Exception {
         TestConnection viewer = connectViewer();
         for (long id = 1; id <= 2; id++) {
             judge.requestSent(id, "free");
-            Message stands = new Message(MessageType.SET_UP, id)
+            Message established = new Message(MessageType.SET_UP, id)
                     .with(Parameter.CLASS, "free")
                     .with(Parameter.WAIT, "inf")
                     .with(Parameter.TITLE, "7f3a9c21e0b4d655")
                     .with(Parameter.ATTRIBUTES, "home:0;copies:1;top:2;viewer:00000000b4d65521;at:s-1")
                     .with(Parameter.DESCRIPTION, "v=0");
-            viewer.send(stands);
-            viewer.send(stands);
+            viewer.send(established);
+            viewer.send(established);
         }
         establishSession(viewer, "free");
         assertEquals(3, node.sessionCount());
@@ -72,61 +72,63 @@
     }
 
     @Test
-    void aViewerEndsASessionFromAnotherConnection() throws Exception {
+    void viewerReleasesASessionOnAnotherConnection() throws Exception {
         TestConnection viewer = connectViewer();
         long id = establishSession(viewer, "free");
         connectViewer().send(new Message(MessageType.RELEASE, id).withCause(16));
         ScriptedServer.ReceivedMessage release = awaitAtServers(MessageType.RELEASE);
         assertEquals(id, release.message().session());
         Message end = viewer.awaitMessage(TIMEOUT_MS);
-        assertEquals(id, end.session(), "a give-up may have crossed the answer: its end is told");
+        assertEquals(id, end.session(), "the release is confirmed, since it may have crossed the answer");
         assertEquals(16, end.cause());
     }
 
     @Test
-    void theEndOfASessionReachesItsViewerOnAnotherConnection() throws Exception {
+    void releaseIsSentOnAnotherConnectionAfterTheFirstWasClosed() throws Exception {
         TestConnection first = connectViewer();
         long id = sendSetUp(first, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage setUp = awaitSetUpAtServers();
         awaitAnswer(first, TIMEOUT_MS);
         first.close();
         TestConnection second = connectViewer();
         establishSession(second, "free");
-        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        setUp.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
         Message end = second.awaitMessage(TIMEOUT_MS);
         assertEquals(id, end.session());
         assertEquals(16, end.cause());
     }
 
     /**
-     * Guards against releases that are sent where no viewer listens: the platform's tests come on
-     * connections of their own, and a connection may be ending. Seen on days with bad clients.
+     * Guards against releases that reach no viewer: the platform sends its tests on separate connections, and the
+     * chosen connection may be closing. The failure was seen on days with bad clients.
      */
     @Test
-    void aReleaseThatNobodyHeardIsSentAgainAndNeverOnATestsConnection() throws Exception {
+    void unacknowledgedReleaseIsRetransmittedAndNeverSentOnATestConnection() throws Exception {
         TestConnection first = connectViewer();
         long id = sendSetUp(first, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage setUp = awaitSetUpAtServers();
         awaitAnswer(first, TIMEOUT_MS);
         first.close();
         TestConnection platform = connectViewer();
         platform.send(new Message(MessageType.TEST, 1).withCause(0));
         platform.awaitMessage(TIMEOUT_MS);
-        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
-        assertNull(platform.awaitMessage(200), "a release on a connection for tests");
+        setUp.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        assertNull(platform.awaitMessage(200), "no release on a test connection");
         TestConnection second = connectViewer();
         establishSession(second, "free");
         assertEquals(id, second.awaitMessage(TIMEOUT_MS).session());
-        assertEquals(id, second.awaitMessage(TIMEOUT_MS).session(), "not heard: again");
+        assertEquals(id, second.awaitMessage(TIMEOUT_MS).session(), "an unacknowledged release is retransmitted");
         second.send(new Message(MessageType.RELEASE_ACKNOWLEDGED, id));
-        Message more = second.awaitMessage(600);
-        assertTrue(more == null || second.awaitMessage(600) == null, "heard: no further one but what crossed");
+        Message crossed = second.awaitMessage(600);
+        assertTrue(
+                crossed == null || second.awaitMessage(600) == null,
+                "after the acknowledgement at most one retransmission that crossed it");
     }
 
-    // ---- discovery
+    // ---- Discovery
 
     @Test
-    void followsTheBulletinOverBreaksCopiesAndCutOffEvents() throws Exception {
+    void discoveryClientResumesAfterDuplicateTruncatedAndInvalidEvents() throws Exception {
         ScriptedDiscovery.StreamRequest first = discovery.awaitRequest(TIMEOUT_MS);
         assertEquals("/bulletins", first.path());
         assertEquals("1", first.lastEventId());
@@ -135,8 +137,8 @@
         first.write("id: 3\ndata: {\"no\":3,\"roster\":{\"revi");
         first.socket().close();
         ScriptedDiscovery.StreamRequest second = discovery.awaitRequest(TIMEOUT_MS);
-        assertEquals("2", second.lastEventId(), "the event that was cut off was not applied");
-        // Of a wrong type: refused whole, and asked for again.
+        assertEquals("2", second.lastEventId(), "the truncated event was not applied");
+        // An event with a field of the wrong type is rejected as a whole and requested again.
         second.sendEvent(
                 3,
                 TestConfig.event(3, false, secondServer.listEntry("DRAINING")).replace("\"cell\":0", "\"cell\":\"x\""));
@@ -146,24 +148,24 @@
         for (int i = 0; i < 5; i++) {
             establishSession(viewer, "free");
         }
-        assertNull(firstServer.awaitMessage(MessageType.SET_UP, 50), "nothing new to a server that drains");
+        assertNull(firstServer.awaitMessage(MessageType.SET_UP, 50), "no set-up to a draining server");
     }
 
     @Test
-    void aGapLeadsToANewRequest() throws Exception {
+    void gapInTheUpdateNumbersLeadsToANewRequest() throws Exception {
         ScriptedDiscovery.StreamRequest first = discovery.awaitRequest(TIMEOUT_MS);
         first.sendEvent(7, TestConfig.event(7, false, firstServer.listEntry("DRAINING")));
         assertEquals("1", discovery.awaitRequest(TIMEOUT_MS).lastEventId());
     }
 
     @Test
-    void aBulletinThatStopsIsAskedAgain() throws Exception {
+    void silentDiscoveryStreamIsRequestedAgain() throws Exception {
         discovery.awaitRequest(TIMEOUT_MS);
-        assertNotNull(discovery.awaitRequest(3500), "silent for more than two comments");
+        assertNotNull(discovery.awaitRequest(3500), "the stream was silent for more than two comment intervals");
     }
 
     @Test
-    void aNewConfigurationMovesTheBulletinAndKeepsSessions() throws Exception {
+    void newConfigurationChangesTheDiscoveryAddressAndKeepsSessions() throws Exception {
         discovery.awaitRequest(TIMEOUT_MS);
         TestConnection viewer = connectViewer();
         establishSession(viewer, "free");
@@ -175,38 +177,42 @@
     }
 
     /**
-     * The list calls a server gone after its end: what stood there is over, though a connection stays open.
+     * The list reports a server as gone after the server has ended, so its sessions end although a connection is open.
      */
     @Test
-    void whatTheListCallsGoneHasEnded() throws Exception {
-        ScriptedDiscovery.StreamRequest asked = discovery.awaitRequest(TIMEOUT_MS);
+    void sessionsEndWhenTheListReportsTheirServerAsGone() throws Exception {
+        ScriptedDiscovery.StreamRequest stream = discovery.awaitRequest(TIMEOUT_MS);
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage setUp = awaitSetUpAtServers();
         Message answer = awaitAnswer(viewer, TIMEOUT_MS);
-        ScriptedServer at = answer.text(Parameter.DESCRIPTION).startsWith("s-1") ? firstServer : secondServer;
-        assertNotNull(got);
-        asked.sendEvent(2, TestConfig.event(2, false, at.listEntry("DELETED")));
+        ScriptedServer sessionServer =
+                answer.text(Parameter.DESCRIPTION).startsWith("s-1") ? firstServer : secondServer;
+        assertNotNull(setUp);
+        stream.sendEvent(2, TestConfig.event(2, false, sessionServer.listEntry("DELETED")));
         Message end = viewer.awaitMessage(TIMEOUT_MS);
         assertEquals(id, end.session());
         assertEquals(41, end.cause());
     }
 
-    /** Known at once by the refused connection, not only when the list tells. */
+    /**
+     * A refused connection shows at once that a server has died, before the list reports it and despite an open
+     * connection.
+     */
     @Test
-    void aDeadServerIsKnownThoughOneConnectionStaysOpen() throws Exception {
-        // Two set-ups at once, so that each of the servers that get two has two connections.
-        List<ScriptedServer.ReceivedMessage> held = new java.util.concurrent.CopyOnWriteArrayList<>();
-        onSetUpAtBoth((wire, message) -> held.add(new ScriptedServer.ReceivedMessage(wire, message)));
+    void deadServerIsDetectedThoughOneConnectionStaysOpen() throws Exception {
+        // The set-ups are concurrent, so a server that gets two of them has two connections.
+        List<ScriptedServer.ReceivedMessage> received = new java.util.concurrent.CopyOnWriteArrayList<>();
+        onSetUpAtBoth((connection, message) -> received.add(new ScriptedServer.ReceivedMessage(connection, message)));
         TestConnection viewer = connectViewer();
         for (int i = 0; i < 8; i++) {
             sendSetUp(viewer, "paid");
         }
-        for (int i = 0; i < 200 && held.size() < 8; i++) {
+        for (int i = 0; i < 200 && received.size() < 8; i++) {
             awaitSetUpAtServers();
         }
-        assertEquals(8, held.size());
-        held.forEach(got -> firstServer.sendAnswer(got.connection(), got.message()));
+        assertEquals(8, received.size());
+        received.forEach(setUp -> firstServer.sendAnswer(setUp.connection(), setUp.message()));
         for (int i = 0; i < 8; i++) {
             awaitAnswer(viewer, TIMEOUT_MS);
         }
@@ -216,20 +222,20 @@
         assertEquals(41, viewer.awaitMessage(1800).cause());
     }
 
-    // ---- stop
+    // ---- Shutdown
 
     @Test
-    void aStopAnswersWhatIsOwedFirst() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void openRequestsAreAnsweredBeforeShutdownEnds() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage setUp = awaitSetUpAtServers();
         CountDownLatch done = new CountDownLatch(1);
         node.stop(done::countDown);
         TestConnection late = connectViewer();
-        onSetUpAtBoth((wire, message) -> firstServer.sendAnswer(wire, message));
+        onSetUpAtBoth((connection, message) -> firstServer.sendAnswer(connection, message));
         establishSession(late, "free");
-        firstServer.sendAnswer(got.connection(), got.message());
+        firstServer.sendAnswer(setUp.connection(), setUp.message());
         assertEquals(id, awaitAnswer(viewer, TIMEOUT_MS).session());
         assertTrue(done.await(5, TimeUnit.SECONDS));
         assertFalse(judge.violations(id).contains("no answer: " + id));
--- a/node/src/test/java/spanrill/node/HostileViewersTest.java
+++ b/node/src/test/java/spanrill/node/HostileViewersTest.java
@@ -17,10 +17,10 @@
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
 
-/** Viewers that are wrong, slow, silent or many. */
+/** Viewers that send invalid input, read slowly, stay silent or open many connections. */
 class HostileViewersTest extends FrontNodeTestBase {
     @Test
-    void whatCanNotBeUsedIsReleasedAndNeverServed() throws Exception {
+    void invalidSetUpsAreReleasedAndNeverServed() throws Exception {
         TestConnection viewer = connectViewer();
         viewer.send(setUpMessage(1, "gold", ""));
         assertEquals(100, viewer.awaitMessage(TIMEOUT_MS).cause());
@@ -39,83 +39,83 @@
     }
 
     @Test
-    void whatCanNotBeFramedAndSilenceAreClosed() throws Exception {
-        TestConnection noise = connectViewer();
+    void connectionsWithMalformedFramesOrNoValidRequestAreClosed() throws Exception {
+        TestConnection malformed = connectViewer();
         TestConnection silent = connectViewer();
-        TestConnection half = connectViewer();
+        TestConnection truncated = connectViewer();
         TestConnection endless = connectViewer();
         TestConnection withdrawing = connectViewer();
-        noise.sendRaw(new byte[] {0, 3, 1, 1, 1});
-        half.sendRaw(new byte[] {0, 40, 1, 0, 0});
+        malformed.sendRaw(new byte[] {0, 3, 1, 1, 1});
+        truncated.sendRaw(new byte[] {0, 40, 1, 0, 0});
         endless.sendRaw(new byte[] {(byte) 0xff, (byte) 0xff, 1});
         for (int i = 0; i < 300; i++) {
             withdrawing.send(new Message(MessageType.RELEASE, 9000 + i).withCause(16));
         }
-        for (TestConnection each : List.of(noise, endless, silent, half, withdrawing)) {
-            assertTrue(each.awaitEnd(TIMEOUT_MS));
+        for (TestConnection connection : List.of(malformed, endless, silent, truncated, withdrawing)) {
+            assertTrue(connection.awaitEnd(TIMEOUT_MS));
         }
         establishSession(connectViewer(), "free");
     }
 
     /**
-     * Set-ups that can't be used, one after the other, end with the connection at once. Progress messages are
-     * free by the protocol, so that no number of them ends it; but they are nothing useful either, and a
-     * connection that brings nothing else is closed within the 3 s that are owed.
+     * A flood of invalid set-ups closes the connection at once. Progress messages are free by the protocol, so their
+     * number alone closes nothing; but they are not useful either, and the protocol requires that a connection without
+     * any useful message is closed within 3 s.
      */
     @Test
-    void floodsOfWhatCanNotBeUsedAreClosed() throws Exception {
-        TestConnection rejected = connectViewer();
-        TestConnection unknown = connectViewer();
+    void connectionsFloodedWithUselessMessagesAreClosed() throws Exception {
+        TestConnection invalid = connectViewer();
+        TestConnection progressOnly = connectViewer();
         for (int i = 1; i <= 200; i++) {
-            rejected.send(setUpMessage(5000 + i, "gold", ""));
-            unknown.send(new Message(MessageType.PROGRESS, i));
+            invalid.send(setUpMessage(5000 + i, "gold", ""));
+            progressOnly.send(new Message(MessageType.PROGRESS, i));
         }
-        assertEquals(100, rejected.awaitMessage(TIMEOUT_MS).cause());
-        assertTrue(rejected.awaitEnd(1000));
-        assertTrue(unknown.awaitEnd(TIMEOUT_MS));
+        assertEquals(100, invalid.awaitMessage(TIMEOUT_MS).cause());
+        assertTrue(invalid.awaitEnd(1000));
+        assertTrue(progressOnly.awaitEnd(TIMEOUT_MS));
         establishSession(connectViewer(), "free");
     }
 
     @Test
-    void hundredsAtOnceGetAnAnswerEach() throws Exception {
+    void hundredsOfConcurrentRequestsGetOneAnswerEach() throws Exception {
         TestConnection crowd = connectViewer();
-        long[] owed = new long[300];
-        for (int i = 0; i < owed.length; i++) {
-            owed[i] = sendSetUp(crowd, i % 3 == 0 ? "paid" : "free");
+        long[] sent = new long[300];
+        for (int i = 0; i < sent.length; i++) {
+            sent[i] = sendSetUp(crowd, i % 3 == 0 ? "paid" : "free");
         }
-        for (int i = 0; i < owed.length; i++) {
+        for (int i = 0; i < sent.length; i++) {
             awaitAnswer(crowd, TIMEOUT_MS);
         }
-        assertEquals(List.of(), judge.violations(owed));
+        assertEquals(List.of(), judge.violations(sent));
         assertNull(crowd.awaitMessage(50));
     }
 
-    /** Each is given up at its server, none is answered, nothing of them is kept. */
+    /** Requests withdrawn right after they were sent leave no session behind and do not hinder later requests. */
     @Test
-    void hundredsWithdrawnAtOnceLeaveNothing() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void hundredsOfWithdrawnRequestsLeaveNoSessions() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection crowd = connectViewer();
-        long first = lastSessionId + 1;
+        long firstId = lastSessionId + 1;
         for (int i = 0; i < 300; i++) {
             sendSetUp(crowd, "free");
         }
-        for (long id = first; id <= lastSessionId; id++) {
+        for (long id = firstId; id <= lastSessionId; id++) {
             crowd.send(new Message(MessageType.RELEASE, id).withCause(16));
         }
         crowd.send(new Message(MessageType.TEST, 1).withCause(0));
-        Message after = crowd.awaitMessage(TIMEOUT_MS);
-        for (; after.type() != MessageType.TEST_RESULT; after = crowd.awaitMessage(TIMEOUT_MS)) {
-            // Turned away before it was withdrawn: an answer, not a second one.
-            judge.receivedByViewer(after);
+        Message message = crowd.awaitMessage(TIMEOUT_MS);
+        for (; message.type() != MessageType.TEST_RESULT; message = crowd.awaitMessage(TIMEOUT_MS)) {
+            // A release sent before the request was withdrawn is its only answer.
+            judge.receivedByViewer(message);
         }
         assertEquals(0, node.sessionCount());
         onSetUpAtBoth(firstServer::sendAnswer);
         establishSession(connectViewer(), "free");
     }
 
-    /** What a peer does not read must not pile up here. */
+    /** Guards against unbounded write buffers: a peer that reads nothing would let answers accumulate in the node. */
     @Test
-    void aPeerThatReadsNothingIsClosed() throws Exception {
+    void connectionOfAPeerThatReadsNothingIsClosed() throws Exception {
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(4096);
             slow.connect(node.address());
@@ -123,55 +123,59 @@
             for (int i = 0; i < 1000; i++) {
                 new Message(MessageType.TEST, i).withCause(0).write(tests);
             }
-            byte[] part = ByteBufUtil.getBytes(tests);
+            byte[] chunk = ByteBufUtil.getBytes(tests);
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 5000; i++) {
-                    slow.getOutputStream().write(part);
+                    slow.getOutputStream().write(chunk);
                 }
             });
         }
         establishSession(connectViewer(), "free");
     }
 
-    /** Its buffer fills after a long rest: the second for which it may read nothing begins then. */
+    /**
+     * The write buffer of a connection fills after a long idle time. The 1 s after which a client counts as not reading
+     * starts when the buffer fills, not at the last write before the idle time.
+     */
     @Test
-    void aSlowReaderKeepsItsAnswersAfterARest() throws Exception {
+    void slowReaderGetsItsAnswersAfterAnIdleTime() throws Exception {
         byte[] description = new byte[15_000];
-        onSetUpAtBoth((wire, message) -> {
+        onSetUpAtBoth((connection, message) -> {
             judge.descriptionIssued(message.session(), description);
-            wire.send(new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, description));
+            connection.send(
+                    new Message(MessageType.ANSWER, message.session()).with(Parameter.DESCRIPTION, description));
         });
         TestConnection slow = closeAfterTest(
                 TestConnection.connectWithoutReading(node.address().getPort(), 4096));
         slow.send(new Message(MessageType.TEST, 1).withCause(0));
         assertNull(slow.awaitMessage(1200));
-        int asked = 0;
-        for (int beyond = 0; beyond < 12 && asked < 600; asked++) {
+        int sent = 0;
+        for (int unflushedChecks = 0; unflushedChecks < 12 && sent < 600; sent++) {
             sendSetUp(slow, "free");
             assertNotNull(awaitSetUpAtServers());
-            beyond += node.hasUnflushed() ? 1 : 0;
+            unflushedChecks += node.hasUnflushed() ? 1 : 0;
         }
-        assertNull(slow.awaitMessage(300), "more than one look at it");
+        assertNull(slow.awaitMessage(300), "nothing is read during several checks by the node");
         slow.startReading();
         assertEquals(MessageType.TEST_RESULT, slow.awaitMessage(TIMEOUT_MS).type());
-        for (int i = 0; i < asked; i++) {
+        for (int i = 0; i < sent; i++) {
             assertEquals(MessageType.ANSWER, awaitAnswer(slow, TIMEOUT_MS).type());
         }
     }
 
-    /** 60 MB that keep coming, framed or not, end with the connection long before they are read. */
+    /** A client that keeps sending 60 MB, framed or not, has its connection closed before all of it is read. */
     @Test
-    void endlessBytesAreClosed() throws Exception {
-        byte[] noise = new byte[64 * 1024];
-        ByteBuf junk = Unpooled.buffer();
-        while (junk.readableBytes() < noise.length) {
-            new Message(MessageType.NOTE, 1).with(200, new byte[4000]).write(junk);
+    void connectionsWithEndlessInputAreClosed() throws Exception {
+        byte[] malformed = new byte[64 * 1024];
+        ByteBuf framed = Unpooled.buffer();
+        while (framed.readableBytes() < malformed.length) {
+            new Message(MessageType.NOTE, 1).with(200, new byte[4000]).write(framed);
         }
-        for (byte[] part : List.of(noise, ByteBufUtil.getBytes(junk))) {
+        for (byte[] chunk : List.of(malformed, ByteBufUtil.getBytes(framed))) {
             try (Socket endless = new Socket("127.0.0.1", node.address().getPort())) {
                 assertThrows(IOException.class, () -> {
                     for (int i = 0; i < 1000; i++) {
-                        endless.getOutputStream().write(part);
+                        endless.getOutputStream().write(chunk);
                     }
                 });
             }
@@ -179,33 +183,35 @@
     }
 
     @Test
-    void anOpenNumberUsedAgainDoesNotDisturbTheFirst() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void reusedSessionIdDoesNotAffectTheOpenRequest() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection first = connectViewer();
         long id = sendSetUp(first, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage setUp = awaitSetUpAtServers();
         TestConnection second = connectViewer();
         second.send(setUpMessage(id, "free", ";again:1"));
         assertEquals(81, second.awaitMessage(TIMEOUT_MS).cause());
-        firstServer.sendAnswer(got.connection(), got.message());
+        firstServer.sendAnswer(setUp.connection(), setUp.message());
         assertEquals(MessageType.ANSWER, awaitAnswer(first, TIMEOUT_MS).type());
         TestConnection third = connectViewer();
-        long twice = sendSetUp(third, "free");
-        ScriptedServer.ReceivedMessage once = awaitSetUpAtServers();
-        third.send(setUpMessage(twice, "free", ""));
-        third.send(setUpMessage(twice, "paid", ""));
+        long repeatedId = sendSetUp(third, "free");
+        ScriptedServer.ReceivedMessage repeatedSetUp = awaitSetUpAtServers();
+        third.send(setUpMessage(repeatedId, "free", ""));
+        third.send(setUpMessage(repeatedId, "paid", ""));
         awaitLoopIterations();
-        firstServer.sendAnswer(once.connection(), once.message());
-        Message only = awaitAnswer(third, TIMEOUT_MS);
-        assertEquals(twice, only.session());
-        assertEquals(MessageType.ANSWER, only.type());
+        firstServer.sendAnswer(repeatedSetUp.connection(), repeatedSetUp.message());
+        Message onlyAnswer = awaitAnswer(third, TIMEOUT_MS);
+        assertEquals(repeatedId, onlyAnswer.session());
+        assertEquals(MessageType.ANSWER, onlyAnswer.type());
         onSetUpAtBoth(firstServer::sendAnswer);
         establishSession(third, "free");
-        assertNull(third.awaitMessage(50), "two under one number on one connection: one answer, to the first");
+        assertNull(
+                third.awaitMessage(50),
+                "set-ups that repeat the id of an open request on its connection get no answer");
     }
 
     @Test
-    void aCrowdThatSaysNothingTakesNoRoomFromViewers() throws Exception {
+    void silentConnectionsDoNotKeepViewersOut() throws Exception {
         for (int i = 0; i < 300; i++) {
             connectViewer();
         }
@@ -213,27 +219,31 @@
         establishSession(viewer, "free");
     }
 
-    /** Strangers who ask for a test and stay: the connection of a session that stands is not for them. */
+    /**
+     * Many connections send one test and stay open; none of them may evict the connection of an established session.
+     */
     @Test
-    void aCrowdThatAsksOnceAndStaysTakesNoConnectionWithASession() throws Exception {
+    void connectionWithAnEstablishedSessionIsNotEvictedForTestConnections() throws Exception {
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "free");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage setUp = awaitSetUpAtServers();
         awaitAnswer(viewer, TIMEOUT_MS);
         for (int i = 0; i < 150; i++) {
-            tested();
+            connectAndSendTest();
         }
-        got.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
+        setUp.connection().send(new Message(MessageType.RELEASE, id).withCause(16));
         Message end = viewer.awaitMessage(1000);
-        assertNotNull(end, "told on its own connection, at once");
+        assertNotNull(end, "the release arrives at once on the connection of the session");
         assertEquals(id, end.session());
     }
 
-    /** Room is full of those who have asked: who has had no time to ask yet is not the first to go. */
+    /**
+     * The budget is full of connections that sent a test; a new connection without a request yet is not evicted first.
+     */
     @Test
-    void aConnectionThatIsJustUpMakesNoRoomForOthers() throws Exception {
+    void newConnectionIsNotEvictedBeforeTestConnections() throws Exception {
         for (int i = 0; i < 130; i++) {
-            tested();
+            connectAndSendTest();
         }
         TestConnection viewer = connectViewer();
         for (int i = 0; i < 4; i++) {
@@ -243,24 +253,24 @@
         establishSession(viewer, "free");
     }
 
-    private void tested() throws Exception {
-        TestConnection stranger = connectViewer();
-        stranger.send(new Message(MessageType.TEST, 1).withCause(0));
-        assertEquals(MessageType.TEST_RESULT, stranger.awaitMessage(TIMEOUT_MS).type());
+    private void connectAndSendTest() throws Exception {
+        TestConnection platform = connectViewer();
+        platform.send(new Message(MessageType.TEST, 1).withCause(0));
+        assertEquals(MessageType.TEST_RESULT, platform.awaitMessage(TIMEOUT_MS).type());
     }
 
     @Test
-    void aViewerThatLeavesHasItsAttemptGivenUp() throws Exception {
-        onSetUpAtBoth((wire, message) -> {});
+    void attemptIsReleasedAtItsServerWhenTheViewerDisconnects() throws Exception {
+        onSetUpAtBoth((connection, message) -> {});
         TestConnection viewer = connectViewer();
         long id = sendSetUp(viewer, "paid");
-        ScriptedServer.ReceivedMessage got = awaitSetUpAtServers();
+        ScriptedServer.ReceivedMessage setUp = awaitSetUpAtServers();
         viewer.close();
         ScriptedServer.ReceivedMessage release = awaitAtServers(MessageType.RELEASE);
         assertEquals(id, release.message().session());
         assertEquals(16, release.message().cause());
-        // A paid attempt that is answered all the same is nothing any more.
-        got.connection().send(new Message(MessageType.ANSWER, id).with(Parameter.DESCRIPTION, "late"));
+        // A late answer to the released attempt has no effect.
+        setUp.connection().send(new Message(MessageType.ANSWER, id).with(Parameter.DESCRIPTION, "late"));
         onSetUpAtBoth(firstServer::sendAnswer);
         establishSession(connectViewer(), "free");
     }
--- a/node/src/test/java/spanrill/node/MainTest.java
+++ b/node/src/test/java/spanrill/node/MainTest.java
@@ -20,7 +20,7 @@
 import spanrill.wire.platform.Message;
 import spanrill.wire.platform.MessageType;
 
-/** The program as the platform starts it: its configuration, and signals. */
+/** The front node as a process, as the platform starts it: configuration errors and signals. */
 @Timeout(60)
 class MainTest {
     @TempDir
@@ -29,7 +29,7 @@
     private Process process;
 
     @AfterEach
-    void end() {
+    void killProcess() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -39,20 +39,20 @@
         return start(config, List.of());
     }
 
-    /** Starts it; {@code before} are the words of a command that starts it in turn. */
-    private BufferedReader start(String config, List<String> before) throws IOException {
+    /** Starts the node as a process; {@code launcher} holds the words of a command that runs it, if any. */
+    private BufferedReader start(String config, List<String> launcher) throws IOException {
         Path file = folder.resolve("config.json");
         if (config != null) {
             Files.writeString(file, config);
         }
-        List<String> words = new ArrayList<>(before);
-        words.addAll(List.of(
+        List<String> command = new ArrayList<>(launcher);
+        command.addAll(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
                 "spanrill.node.Main"));
-        ProcessBuilder builder = new ProcessBuilder(words);
+        ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("EDGE_CONFIG", file.toString());
         process = builder.redirectErrorStream(true).start();
         return process.inputReader(StandardCharsets.UTF_8);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aWrongConfigurationIsOneLineAndExitCodeTwo() throws Exception {
+    void invalidConfigurationExitsWithCodeTwoAndOneLine() throws Exception {
         String good = TestConfig.json(3868, 4222, List.of());
         BufferedReader log = start(good.replace("\"racks\":1", "\"racks\":\"x\""));
         List<String> lines = log.lines().toList();
@@ -92,16 +92,18 @@
     }
 
     @Test
-    void aMissingConfigurationIsOneLineAndExitCodeTwo() throws Exception {
+    void missingConfigurationExitsWithCodeTwoAndOneLine() throws Exception {
         List<String> lines = start(null).lines().toList();
         assertEquals(2, process.waitFor());
         assertEquals(1, lines.size(), lines.toString());
         assertTrue(lines.get(0).contains("config.json"));
     }
 
-    /** SIGHUP never ends the program, whatever the file holds by then; SIGTERM ends it with 0. */
+    /**
+     * SIGHUP never ends the process, even when the configuration file has become invalid; SIGTERM ends it with code 0.
+     */
     @Test
-    void signalsReloadAndStop() throws Exception {
+    void sighupReloadsTheConfigurationAndSigtermStops() throws Exception {
         int port = freePort();
         String config = TestConfig.json(port, freePort(), List.of());
         BufferedReader log = start(config);
@@ -122,9 +124,9 @@
         assertFalse(process.isAlive());
     }
 
-    /** A second SIGTERM changes nothing, a new configuration is taken up until the end. */
+    /** A second SIGTERM has no effect, and the configuration can be reloaded while the node shuts down. */
     @Test
-    void signalsDuringAStopDoNotEndItEarly() throws Exception {
+    void signalsDuringShutdownDoNotEndItEarly() throws Exception {
         int port = freePort();
         BufferedReader log = start(TestConfig.json(port, freePort(), List.of()));
         lineWith(log, "node.serving");
@@ -135,39 +137,44 @@
         assertTrue(lineWith(log, "config.loaded") != null);
         try (TestConnection platform = TestConnection.connect(port)) {
             platform.send(new Message(MessageType.TEST, 1).withCause(0));
-            assertEquals(1, platform.awaitMessage(5000).cause(), "it serves while requests may come");
+            assertEquals(1, platform.awaitMessage(5000).cause(), "the node serves while requests may arrive");
         }
         assertTrue(lineWith(log, "shutdown.drain") != null);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    /** Nothing was accepted yet, so nothing is owed: it ends at once and never serves. */
+    /** No connection has been accepted yet, so the process ends at once. */
     @Test
-    void aStopDuringTheStartEndsItAtOnce() throws Exception {
-        try (ServerSocket silent = new ServerSocket(0)) {
-            BufferedReader log = start(TestConfig.json(freePort(), silent.getLocalPort(), List.of()));
+    void sigtermDuringStartUpEndsTheProcessAtOnce() throws Exception {
+        try (ServerSocket silentDiscovery = new ServerSocket(0)) {
+            BufferedReader log = start(TestConfig.json(freePort(), silentDiscovery.getLocalPort(), List.of()));
             lineWith(log, "node.warm");
             signal("TERM");
-            List<String> rest = log.lines().toList();
+            List<String> remainingLines = log.lines().toList();
             assertTrue(process.waitFor(5, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue());
-            assertTrue(rest.stream().anyMatch(line -> line.contains("phase=start")), rest.toString());
-            assertTrue(rest.stream().noneMatch(line -> line.contains("node.serving")), rest.toString());
+            assertTrue(
+                    remainingLines.stream().anyMatch(line -> line.contains("phase=start")), remainingLines.toString());
+            assertTrue(
+                    remainingLines.stream().noneMatch(line -> line.contains("node.serving")),
+                    remainingLines.toString());
         }
     }
 
-    /** As under nohup: the runtime leaves the signal ignored, operators would wait for a reload in vain. */
+    /**
+     * Under nohup, for example, the runtime keeps ignoring SIGHUP; without a log line operators would expect a reload.
+     */
     @Test
-    void saysWhenItWasStartedWithSignalsIgnored() throws Exception {
+    void logsThatSighupIsIgnored() throws Exception {
         BufferedReader log = start(
                 TestConfig.json(freePort(), freePort(), List.of()),
                 List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
-        List<String> said = new ArrayList<>();
+        List<String> lines = new ArrayList<>();
         do {
-            said.add(log.readLine());
-        } while (!said.get(said.size() - 1).contains("node.serving"));
-        assertTrue(said.stream().anyMatch(line -> line.contains("signal.ignored") && line.contains("HUP")));
+            lines.add(log.readLine());
+        } while (!lines.get(lines.size() - 1).contains("node.serving"));
+        assertTrue(lines.stream().anyMatch(line -> line.contains("signal.ignored") && line.contains("HUP")));
         signal("TERM");
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
--- a/node/src/test/java/spanrill/node/RequestRuleChecker.java
+++ b/node/src/test/java/spanrill/node/RequestRuleChecker.java
@@ -10,80 +10,87 @@
 import spanrill.wire.platform.Parameter;
 
 /**
- * Judges the rules on requests from what crossed the sockets: one answer to each set-up, made by a server
- * where it says that the session stands; a paid set-up sent again or refused only on a server's proof.
+ * Checks the rules on requests by the messages that viewers and servers send and receive: each set-up gets one final
+ * answer; a description in an answer was issued by a server; a paid set-up is sent again or refused only after a server
+ * proved that the earlier attempt never ran.
  */
 final class RequestRuleChecker {
     private static final List<Integer> REFUSALS = List.of(34, 42, 102);
 
-    private final Map<Long, String> classes = new HashMap<>();
-    private final Map<Long, Integer> sent = new HashMap<>();
-    private final Map<Long, Integer> proofs = new HashMap<>();
-    private final Map<Long, Integer> answers = new HashMap<>();
-    private final Map<Long, List<byte[]>> made = new HashMap<>();
-    private final List<String> faults = new ArrayList<>();
+    private final Map<Long, String> classNames = new HashMap<>();
+    private final Map<Long, Integer> attempts = new HashMap<>();
+    private final Map<Long, Integer> nonExecutionProofs = new HashMap<>();
+    private final Map<Long, Integer> finalAnswers = new HashMap<>();
+    private final Map<Long, List<byte[]>> descriptions = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
 
-    /** A viewer sent a set-up. */
+    /** Records that a viewer sent a set-up. */
     synchronized void requestSent(long session, String className) {
-        classes.put(session, className);
+        classNames.put(session, className);
     }
 
-    /** A server made a description. */
+    /** Records that a server answered a set-up with this description. */
     synchronized void descriptionIssued(long session, byte[] description) {
-        made.computeIfAbsent(session, s -> new ArrayList<>()).add(description);
+        descriptions.computeIfAbsent(session, s -> new ArrayList<>()).add(description);
     }
 
-    /** A server proved that an attempt never ran. */
+    /** Records that a server proved that an attempt never ran. */
     synchronized void nonExecutionProved(long session) {
-        proofs.merge(session, 1, Integer::sum);
+        nonExecutionProofs.merge(session, 1, Integer::sum);
     }
 
+    /** Checks a message that a server received. */
     synchronized void receivedByServer(String server, Message message) {
         long id = message.session();
         if (message.type() != MessageType.SET_UP) {
             return;
         }
-        int before = sent.merge(id, 1, Integer::sum) - 1;
-        if (!classes.containsKey(id)) {
-            faults.add("a set-up that no viewer sent: " + id);
-        } else if (classes.get(id).equals("paid") && before > proofs.getOrDefault(id, 0)) {
-            faults.add("paid set-up sent again without proof: " + id);
+        int earlierAttempts = attempts.merge(id, 1, Integer::sum) - 1;
+        if (!classNames.containsKey(id)) {
+            violations.add("set-up that no viewer sent: " + id);
+        } else if (classNames.get(id).equals("paid") && earlierAttempts > nonExecutionProofs.getOrDefault(id, 0)) {
+            violations.add("paid set-up sent again without proof: " + id);
         }
     }
 
+    /** Checks a message that a viewer received. */
     synchronized void receivedByViewer(Message message) {
         long id = message.session();
-        boolean stands = message.type() == MessageType.ANSWER;
-        if (!stands && (message.type() != MessageType.RELEASE || answers.getOrDefault(id, 0) > 0 && madeFor(id))) {
+        boolean accepted = message.type() == MessageType.ANSWER;
+        if (!accepted
+                && (message.type() != MessageType.RELEASE
+                        || finalAnswers.getOrDefault(id, 0) > 0 && hasDescription(id))) {
             return;
         }
-        if (answers.merge(id, 1, Integer::sum) > 1) {
-            faults.add("a second answer: " + id);
+        if (finalAnswers.merge(id, 1, Integer::sum) > 1) {
+            violations.add("second final answer: " + id);
         }
-        byte[] told = message.get(Parameter.DESCRIPTION);
-        if (stands && made.getOrDefault(id, List.of()).stream().noneMatch(d -> Arrays.equals(d, told))) {
-            faults.add("served with what no server made: " + id);
+        byte[] receivedDescription = message.get(Parameter.DESCRIPTION);
+        if (accepted
+                && descriptions.getOrDefault(id, List.of()).stream()
+                        .noneMatch(d -> Arrays.equals(d, receivedDescription))) {
+            violations.add("answer with a description that no server issued: " + id);
         }
-        if (!stands
+        if (!accepted
                 && REFUSALS.contains(message.cause())
-                && "paid".equals(classes.get(id))
-                && sent.getOrDefault(id, 0) > proofs.getOrDefault(id, 0)) {
-            faults.add("paid set-up refused without proof: " + id);
+                && "paid".equals(classNames.get(id))
+                && attempts.getOrDefault(id, 0) > nonExecutionProofs.getOrDefault(id, 0)) {
+            violations.add("paid set-up refused without proof: " + id);
         }
     }
 
-    private boolean madeFor(long id) {
-        return made.containsKey(id);
+    private boolean hasDescription(long id) {
+        return descriptions.containsKey(id);
     }
 
-    /** All that was broken, with the set-ups of these ids that were never answered. */
-    synchronized List<String> violations(long... owed) {
-        List<String> all = new ArrayList<>(faults);
-        for (long id : owed) {
-            if (!answers.containsKey(id)) {
-                all.add("no answer: " + id);
+    /** Returns all violations so far, including a missing answer for each of the given session ids. */
+    synchronized List<String> violations(long... expectedIds) {
+        List<String> result = new ArrayList<>(violations);
+        for (long id : expectedIds) {
+            if (!finalAnswers.containsKey(id)) {
+                result.add("no answer: " + id);
             }
         }
-        return all;
+        return result;
     }
 }
--- a/node/src/test/java/spanrill/node/RequestRuleCheckerTest.java
+++ b/node/src/test/java/spanrill/node/RequestRuleCheckerTest.java
@@ -8,38 +8,41 @@
 import spanrill.wire.platform.MessageType;
 import spanrill.wire.platform.Parameter;
 
-/** The judge of the other tests catches what it is there for. */
+/** Tests that the rule checker of the other tests reports each kind of violation. */
 class RequestRuleCheckerTest {
-    private final RequestRuleChecker judge = new RequestRuleChecker();
+    private final RequestRuleChecker checker = new RequestRuleChecker();
 
     private static Message answer(long id, String description) {
         return new Message(MessageType.ANSWER, id).with(Parameter.DESCRIPTION, description);
     }
 
     @Test
-    void catchesASecondAnswerAndOneThatNoServerMade() {
-        judge.requestSent(1, "free");
-        judge.descriptionIssued(1, "d".getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        judge.receivedByViewer(answer(1, "d"));
-        assertEquals(List.of(), judge.violations(1));
-        judge.receivedByViewer(answer(1, "d"));
-        assertEquals(List.of("a second answer: 1", "no answer: 2"), judge.violations(1, 2));
-        judge.receivedByViewer(answer(3, "x"));
-        assertEquals("served with what no server made: 3", judge.violations().get(1));
+    void reportsASecondAnswerAndADescriptionThatNoServerIssued() {
+        checker.requestSent(1, "free");
+        checker.descriptionIssued(1, "d".getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        checker.receivedByViewer(answer(1, "d"));
+        assertEquals(List.of(), checker.violations(1));
+        checker.receivedByViewer(answer(1, "d"));
+        assertEquals(List.of("second final answer: 1", "no answer: 2"), checker.violations(1, 2));
+        checker.receivedByViewer(answer(3, "x"));
+        assertEquals(
+                "answer with a description that no server issued: 3",
+                checker.violations().get(1));
     }
 
     @Test
-    void catchesAPaidSetUpSentAgainOrRefusedWithoutProof() {
-        judge.requestSent(1, "paid");
-        judge.receivedByServer("s-1", new Message(MessageType.SET_UP, 1));
-        judge.receivedByServer("s-2", new Message(MessageType.SET_UP, 1));
-        assertEquals(List.of("paid set-up sent again without proof: 1"), judge.violations());
-        judge.requestSent(2, "paid");
-        judge.receivedByServer("s-1", new Message(MessageType.SET_UP, 2));
-        judge.nonExecutionProved(2);
-        judge.receivedByServer("s-2", new Message(MessageType.SET_UP, 2));
-        assertEquals(1, judge.violations().size(), "proved: may be sent again");
-        judge.receivedByViewer(new Message(MessageType.RELEASE, 2).withCause(42));
-        assertEquals("paid set-up refused without proof: 2", judge.violations().get(1));
+    void reportsAPaidSetUpSentAgainOrRefusedWithoutProof() {
+        checker.requestSent(1, "paid");
+        checker.receivedByServer("s-1", new Message(MessageType.SET_UP, 1));
+        checker.receivedByServer("s-2", new Message(MessageType.SET_UP, 1));
+        assertEquals(List.of("paid set-up sent again without proof: 1"), checker.violations());
+        checker.requestSent(2, "paid");
+        checker.receivedByServer("s-1", new Message(MessageType.SET_UP, 2));
+        checker.nonExecutionProved(2);
+        checker.receivedByServer("s-2", new Message(MessageType.SET_UP, 2));
+        assertEquals(1, checker.violations().size(), "a set-up may be sent again after proof");
+        checker.receivedByViewer(new Message(MessageType.RELEASE, 2).withCause(42));
+        assertEquals(
+                "paid set-up refused without proof: 2", checker.violations().get(1));
     }
 }
--- a/node/src/test/java/spanrill/node/TestConfig.java
+++ b/node/src/test/java/spanrill/node/TestConfig.java
@@ -3,26 +3,26 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Configurations for tests: two classes, three rungs, one cell; figures of the tests' own. */
+/** Configuration files for tests, with two service classes, three rungs and one cell. */
 public final class TestConfig {
     private TestConfig() {}
 
-    /** A server as the list shows it. */
+    /** A server as JSON, as in the server list. */
     public static String member(String id, int port, String phase) {
         return "{\"id\":\"" + id + "\",\"host_port\":\"127.0.0.1:" + port
                 + "\",\"locality\":\"a\",\"flavor\":\"std\",\"cell\":0,\"phase\":\"" + phase
                 + "\",\"size\":1,\"up_since_ms\":0}";
     }
 
-    /** An event of discovery. */
-    public static String event(long no, boolean whole, String... members) {
-        return "{\"no\":" + no + ",\"roster\":{\"revision\":" + no + ",\"complete\":" + whole
+    /** A server list update as JSON, as discovery sends it. */
+    public static String event(long number, boolean complete, String... members) {
+        return "{\"no\":" + number + ",\"roster\":{\"revision\":" + number + ",\"complete\":" + complete
                 + ",\"members\":["
                 + String.join(",", members) + "]}}";
     }
 
-    /** The whole file. */
-    public static String json(int listen, int discovery, List<String> events) {
+    /** The configuration file as text. */
+    public static String json(int listenPort, int discoveryPort, List<String> events) {
         return """
                 {"name":"n0","listen":"127.0.0.1:%d","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":128,"sockets":%d},"bulletin":"127.0.0.1:%d",
@@ -43,11 +43,11 @@
                    "retry_after":true},
                   "penalties":{"cross_zone":0.0},
                   "safety":{"cold":4000.0,"cold_share":0.4,"tip_multiple":2.0,"fall":500.0}}}
-                """.formatted(listen, 256, discovery, events.size(), String.join(",", events));
+                """.formatted(listenPort, 256, discoveryPort, events.size(), String.join(",", events));
     }
 
-    /** The same as bytes. */
-    public static byte[] bytes(int listen, int discovery, List<String> events) {
-        return json(listen, discovery, events).getBytes(StandardCharsets.UTF_8);
+    /** The configuration file as bytes. */
+    public static byte[] bytes(int listenPort, int discoveryPort, List<String> events) {
+        return json(listenPort, discoveryPort, events).getBytes(StandardCharsets.UTF_8);
     }
 }
