--- a/check/src/main/java/spanrill/check/AnswersRule.java
+++ b/check/src/main/java/spanrill/check/AnswersRule.java
@@ -8,11 +8,11 @@
  */
 final class AnswersRule implements Rule {
     @Override
-    public Verdict judge(TapEvent.Facts facts, List<TapEvent> events, Attempts attempts) {
+    public Verdict evaluate(TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts) {
         Verdict verdict = new Verdict(1, "exactly one answer in time");
         for (Requests.Judged request : new Requests(events, attempts).all()) {
-            verdict.judged();
-            request.faults().forEach(fault -> verdict.broken(fault.t(), fault.text()));
+            verdict.countCheck();
+            request.faults().forEach(fault -> verdict.addViolation(fault.t(), fault.text()));
         }
         return verdict;
     }
--- a/check/src/main/java/spanrill/check/Attempts.java
+++ b/check/src/main/java/spanrill/check/Attempts.java
@@ -11,13 +11,13 @@
 final class Attempts {
     /** One set-up as its box saw it. */
     static final class Attempt {
-        final TapEvent.SetUp setUp;
+        final TraceEvent.SetUp setUp;
         double endedAt = Double.POSITIVE_INFINITY;
         double provenAt = Double.POSITIVE_INFINITY;
         boolean ran;
         double answeredAt = Double.POSITIVE_INFINITY;
 
-        Attempt(TapEvent.SetUp setUp) {
+        Attempt(TraceEvent.SetUp setUp) {
             this.setUp = setUp;
         }
 
@@ -39,15 +39,15 @@
     private final Map<Integer, List<double[]>> away = new HashMap<>();
     private final Map<Integer, List<double[]>> dead = new HashMap<>();
 
-    Attempts(List<TapEvent> events) {
+    Attempts(List<TraceEvent> events) {
         Map<String, List<Attempt>> open = new HashMap<>();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.SetUp setUp) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.SetUp setUp) {
                 Attempt attempt = new Attempt(setUp);
                 byKey.put(setUp.key(), attempt);
                 byToken.computeIfAbsent(setUp.token(), k -> new ArrayList<>()).add(attempt);
                 open.computeIfAbsent(setUp.box(), k -> new ArrayList<>()).add(attempt);
-            } else if (event instanceof TapEvent.SetUpAnswer answer && byKey.containsKey(answer.key())) {
+            } else if (event instanceof TraceEvent.SetUpAnswer answer && byKey.containsKey(answer.key())) {
                 Attempt attempt = byKey.get(answer.key());
                 attempt.answeredAt = answer.t();
                 if (answer.status() == 503 && answer.reason() != null) {
@@ -56,34 +56,34 @@
                 if (answer.status() != 200) {
                     attempt.end(answer.t());
                 }
-            } else if (event instanceof TapEvent.CallOffAnswer answer && byKey.containsKey(answer.key())) {
+            } else if (event instanceof TraceEvent.CancelAnswer answer && byKey.containsKey(answer.key())) {
                 Attempt attempt = byKey.get(answer.key());
                 // Its word is taken only as far as the records bear it out.
                 if (!answer.ran() && !attempt.ran) {
                     attempt.provenAt = Math.min(attempt.provenAt, answer.t());
                 }
                 attempt.end(answer.t());
-            } else if (event instanceof TapEvent.Ran ran && byKey.containsKey(ran.key())) {
+            } else if (event instanceof TraceEvent.AttemptStarted ran && byKey.containsKey(ran.key())) {
                 byKey.get(ran.key()).ran = true;
                 byKey.get(ran.key()).provenAt = Double.POSITIVE_INFINITY;
-            } else if (event instanceof TapEvent.End end && byKey.containsKey(end.key())) {
+            } else if (event instanceof TraceEvent.AttemptEnded end && byKey.containsKey(end.key())) {
                 byKey.get(end.key()).end(end.t());
-            } else if (event instanceof TapEvent.BoxDown down) {
+            } else if (event instanceof TraceEvent.BoxStopped down) {
                 open.getOrDefault(down.box(), List.of()).forEach(a -> a.end(down.t()));
                 open.remove(down.box());
                 this.down.computeIfAbsent(down.box(), k -> new ArrayList<>()).add(down.t());
-            } else if (event instanceof TapEvent.BoxMute m) {
+            } else if (event instanceof TraceEvent.BoxMuted m) {
                 span(mute.computeIfAbsent(m.box(), k -> new ArrayList<>()), m.t(), m.on());
                 if (m.from() != null) {
                     span(cut.computeIfAbsent(m.box(), k -> new ArrayList<>()), m.t(), m.on());
                 }
-            } else if (event instanceof TapEvent.FrontDown down) {
+            } else if (event instanceof TraceEvent.FrontStopped down) {
                 span(away.computeIfAbsent(down.front(), k -> new ArrayList<>()), down.t(), true);
                 span(dead.computeIfAbsent(down.front(), k -> new ArrayList<>()), down.t(), true);
-            } else if (event instanceof TapEvent.FrontUp up) {
+            } else if (event instanceof TraceEvent.FrontStarted up) {
                 span(away.computeIfAbsent(up.front(), k -> new ArrayList<>()), up.t(), false);
                 span(dead.computeIfAbsent(up.front(), k -> new ArrayList<>()), up.t(), false);
-            } else if (event instanceof TapEvent.FrontStall stall) {
+            } else if (event instanceof TraceEvent.FrontStalled stall) {
                 away.computeIfAbsent(stall.front(), k -> new ArrayList<>())
                         .add(new double[] {stall.t(), stall.t() + stall.ms()});
             }
--- a/check/src/main/java/spanrill/check/BudgetRule.java
+++ b/check/src/main/java/spanrill/check/BudgetRule.java
@@ -21,7 +21,7 @@
     private static final double READ_MS = 50;
 
     @Override
-    public Verdict judge(TapEvent.Facts facts, List<TapEvent> events, Attempts attempts) {
+    public Verdict evaluate(TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts) {
         Verdict verdict = new Verdict(6, "further attempts within the budget");
         if (facts.attemptWindowMs() == null) {
             return verdict;
@@ -30,18 +30,18 @@
         Map<Integer, ArrayDeque<Double>> further = new HashMap<>();
         Map<Long, String> tokens = new HashMap<>();
         Set<String> tried = new HashSet<>();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.Ask ask) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.Request ask) {
                 tokens.put(ask.ask(), ask.token());
                 taken.computeIfAbsent(ask.front(), k -> new ArrayDeque<>()).add(ask.t());
-            } else if (event instanceof TapEvent.Answer answer) {
+            } else if (event instanceof TraceEvent.Answer answer) {
                 // After its answer the token's next attempt belongs to a new request.
                 tried.remove(tokens.get(answer.ask()));
-            } else if (event instanceof TapEvent.FrontUp up) {
+            } else if (event instanceof TraceEvent.FrontStarted up) {
                 taken.remove(up.front());
                 further.remove(up.front());
-            } else if (event instanceof TapEvent.SetUp setUp) {
-                verdict.judged();
+            } else if (event instanceof TraceEvent.SetUp setUp) {
+                verdict.countCheck();
                 // A moved session is asked for anew: its first set-up elsewhere is that of another request.
                 boolean moved = setUp.continues() != null;
                 if (tried.add(moved ? requestOf(setUp.key()) : setUp.token())) {
@@ -61,7 +61,7 @@
                 asked.removeIf(t -> t <= asksFrom);
                 double budget = facts.spareAttempts() + facts.attemptShare() * asked.size();
                 if (own.size() > budget) {
-                    verdict.broken(
+                    verdict.addViolation(
                             setUp.t(),
                             String.format(
                                     "front %d made %d further attempts, budget %.1f",
--- a/check/src/main/java/spanrill/check/EarlyEnds.java
+++ b/check/src/main/java/spanrill/check/EarlyEnds.java
@@ -41,23 +41,23 @@
      * One end.
      *
      * @param t when its viewer saw it
-     * @param cls class of session
+     * @param serviceClass class of session
      */
-    public record End(double t, String cls, Cause cause) {}
+    public record End(double t, String serviceClass, Cause cause) {}
 
     private EarlyEnds() {}
 
     /** All of a run, in order of time. */
-    public static List<End> of(List<TapEvent> records) {
-        List<TapEvent> events = new ArrayList<>(records);
-        events.sort(Comparator.comparingDouble(TapEvent::t));
+    public static List<End> find(List<TraceEvent> records) {
+        List<TraceEvent> events = new ArrayList<>(records);
+        events.sort(Comparator.comparingDouble(TraceEvent::t));
         Attempts attempts = new Attempts(events);
         Map<String, String> classes = new HashMap<>();
         List<End> ends = new ArrayList<>();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.Ask ask) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.Request ask) {
                 classes.put(ask.token(), ask.cls());
-            } else if (event instanceof TapEvent.Broke broke) {
+            } else if (event instanceof TraceEvent.SessionBroken broke) {
                 ends.add(new End(broke.t(), classes.getOrDefault(broke.token(), ""), cause(broke, attempts)));
             }
         }
@@ -65,7 +65,7 @@
     }
 
     /** How many of each cause; every cause has its count. */
-    public static Map<Cause, Long> counts(List<End> ends) {
+    public static Map<Cause, Long> countByCause(List<End> ends) {
         Map<Cause, Long> counts = new EnumMap<>(Cause.class);
         for (Cause cause : Cause.values()) {
             counts.put(cause, ends.stream().filter(end -> end.cause() == cause).count());
@@ -73,7 +73,7 @@
         return counts;
     }
 
-    private static Cause cause(TapEvent.Broke broke, Attempts attempts) {
+    private static Cause cause(TraceEvent.SessionBroken broke, Attempts attempts) {
         String why = broke.why() == null ? "" : broke.why();
         if (why.equals("move-refused")) {
             return Cause.MOVE_REFUSED;
--- a/check/src/main/java/spanrill/check/Tap.java
+++ b/check/src/main/java/spanrill/check/EventRecorder.java
@@ -16,27 +16,27 @@
 import java.util.List;
 
 /** Records of a run: kept in memory, in a file of a JSON object a line, or both. Safe from any thread. */
-public final class Tap implements AutoCloseable {
+public final class EventRecorder implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final ObjectWriter WRITER = JSON.writerFor(TapEvent.class);
+    private static final ObjectWriter WRITER = JSON.writerFor(TraceEvent.class);
     private static final int MOST_LINE = 1 << 20;
 
     private final long origin = System.nanoTime();
-    private final List<TapEvent> events = new ArrayList<>();
+    private final List<TraceEvent> events = new ArrayList<>();
     private final BufferedWriter file;
 
     /** Records in memory and, unless the file is null, in the file. */
-    public Tap(Path path) throws IOException {
+    public EventRecorder(Path path) throws IOException {
         file = path == null ? null : Files.newBufferedWriter(path, StandardCharsets.UTF_8);
     }
 
     /** The clock of the records. */
-    public double now() {
+    public double nowMs() {
         return (System.nanoTime() - origin) / 1e6;
     }
 
     /** Records. */
-    public synchronized void put(TapEvent event) {
+    public synchronized void record(TraceEvent event) {
         events.add(event);
         if (file != null) {
             try {
@@ -49,7 +49,7 @@
     }
 
     /** All records so far. */
-    public synchronized List<TapEvent> events() {
+    public synchronized List<TraceEvent> events() {
         return new ArrayList<>(events);
     }
 
@@ -66,8 +66,8 @@
      *
      * @throws IOException with file, line and reason when one can't be read
      */
-    public static List<TapEvent> read(Path path) throws IOException {
-        List<TapEvent> read = new ArrayList<>();
+    public static List<TraceEvent> read(Path path) throws IOException {
+        List<TraceEvent> read = new ArrayList<>();
         int number = 0;
         try (BufferedReader in = Files.newBufferedReader(path, StandardCharsets.UTF_8)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -78,7 +78,7 @@
                 if (line.length() > MOST_LINE) {
                     throw new IOException(path + ":" + number + ": a line of more than " + MOST_LINE + " characters");
                 }
-                TapEvent event = JSON.readValue(line, TapEvent.class);
+                TraceEvent event = JSON.readValue(line, TraceEvent.class);
                 if (event == null) {
                     throw new IOException(path + ":" + number + ": is no record");
                 }
--- a/check/src/main/java/spanrill/check/OnceRule.java
+++ b/check/src/main/java/spanrill/check/OnceRule.java
@@ -12,22 +12,22 @@
  */
 final class OnceRule implements Rule {
     @Override
-    public Verdict judge(TapEvent.Facts facts, List<TapEvent> events, Attempts attempts) {
+    public Verdict evaluate(TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts) {
         Verdict verdict = new Verdict(2, "a paid session is set up once");
-        Map<Long, TapEvent.Ask> asks = new HashMap<>();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.Ask ask) {
+        Map<Long, TraceEvent.Request> asks = new HashMap<>();
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.Request ask) {
                 asks.put(ask.ask(), ask);
-            } else if (event instanceof TapEvent.Answer answer
+            } else if (event instanceof TraceEvent.Answer answer
                     && answer.answer().equals("refused")
                     && asks.containsKey(answer.ask())) {
-                TapEvent.Ask ask = asks.get(answer.ask());
+                TraceEvent.Request ask = asks.get(answer.ask());
                 if (!facts.classes().get(ask.cls()).once()) {
                     continue;
                 }
                 for (Attempt attempt : attempts.byToken().getOrDefault(ask.token(), List.of())) {
                     if (attempt.setUp.t() < answer.t() && !attempt.proven(answer.t())) {
-                        verdict.broken(
+                        verdict.addViolation(
                                 answer.t(),
                                 "token " + ask.token() + " was refused though attempt " + attempt.setUp.key()
                                         + " may have run");
@@ -37,20 +37,20 @@
         }
         attempts.byToken().forEach((token, list) -> {
             if (facts.classes().get(list.get(0).setUp.cls()).once()) {
-                verdict.judged();
-                judge(verdict, token, list, attempts);
+                verdict.countCheck();
+                evaluate(verdict, token, list, attempts);
             }
         });
         return verdict;
     }
 
-    private static void judge(Verdict verdict, String token, List<Attempt> list, Attempts attempts) {
+    private static void evaluate(Verdict verdict, String token, List<Attempt> list, Attempts attempts) {
         for (Attempt attempt : list) {
-            TapEvent.SetUp setUp = attempt.setUp;
+            TraceEvent.SetUp setUp = attempt.setUp;
             if (setUp.continues() != null) {
                 Attempt before = attempts.byKey(setUp.continues());
                 if (before == null || !before.ran || !before.setUp.token().equals(token) || setUp.spends()) {
-                    verdict.broken(setUp.t(), "token " + token + " goes on with an attempt that never ran");
+                    verdict.addViolation(setUp.t(), "token " + token + " goes on with an attempt that never ran");
                 }
                 continue;
             }
@@ -60,13 +60,13 @@
                 unproven = spent && !before.proven(setUp.t()) ? before : unproven;
             }
             if (unproven != null) {
-                verdict.broken(
+                verdict.addViolation(
                         setUp.t(),
                         "token " + token + " was set up again though attempt " + unproven.setUp.key()
                                 + " may have run");
             }
             if (!setUp.spends()) {
-                verdict.broken(setUp.t(), "token " + token + " of a paid class was set up without spending");
+                verdict.addViolation(setUp.t(), "token " + token + " of a paid class was set up without spending");
             }
         }
     }
--- a/check/src/main/java/spanrill/check/OneOutRule.java
+++ b/check/src/main/java/spanrill/check/OneOutRule.java
@@ -11,19 +11,19 @@
     private static final double CROSSING_MS = 150;
 
     @Override
-    public Verdict judge(TapEvent.Facts facts, List<TapEvent> events, Attempts attempts) {
+    public Verdict evaluate(TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts) {
         Verdict verdict = new Verdict(3, "one attempt out at a time");
         for (List<Attempt> list : attempts.byToken().values()) {
             for (int i = 1; i < list.size(); i++) {
-                TapEvent.SetUp next = list.get(i).setUp;
-                verdict.judged();
+                TraceEvent.SetUp next = list.get(i).setUp;
+                verdict.countCheck();
                 for (Attempt before : list.subList(0, i)) {
                     double limit =
                             next.t() + CROSSING_MS + attempts.away(next.front(), before.setUp.t(), next.t() + 50);
                     if (before.endedAt > limit
                             && before.setUp.front() == next.front()
                             && !attempts.mute(before.setUp.box(), before.setUp.t(), limit)) {
-                        verdict.broken(
+                        verdict.addViolation(
                                 next.t(),
                                 "token " + next.token() + " is sent to " + next.box()
                                         + " while attempt " + before.setUp.key() + " is out at "
--- a/check/src/main/java/spanrill/check/Tally.java
+++ b/check/src/main/java/spanrill/check/RequestTally.java
@@ -21,7 +21,7 @@
  * @param left their viewer left before the answer
  * @param lostWithFront their front died
  */
-public record Tally(
+public record RequestTally(
         long requests,
         long plays,
         long refused,
@@ -33,9 +33,9 @@
         long lostWithFront) {
 
     /** Counts. */
-    public static Tally of(List<TapEvent> records) {
-        List<TapEvent> events = new ArrayList<>(records);
-        events.sort(Comparator.comparingDouble(TapEvent::t));
+    public static RequestTally of(List<TraceEvent> records) {
+        List<TraceEvent> events = new ArrayList<>(records);
+        events.sort(Comparator.comparingDouble(TraceEvent::t));
         Map<Requests.Fate, Long> counts = new EnumMap<>(Requests.Fate.class);
         long excused = 0;
         for (Requests.Judged request : new Requests(events, new Attempts(events)).all()) {
@@ -43,8 +43,9 @@
             excused += request.fate() == Requests.Fate.UNANSWERED && !request.owed() ? 1 : 0;
         }
         // Counted from the records themselves, not as a sum: what is judged must be all there is.
-        long requests = events.stream().filter(TapEvent.Ask.class::isInstance).count();
-        return new Tally(
+        long requests =
+                events.stream().filter(TraceEvent.Request.class::isInstance).count();
+        return new RequestTally(
                 requests,
                 count(counts, Requests.Fate.PLAYS),
                 count(counts, Requests.Fate.REFUSED),
@@ -66,7 +67,7 @@
     }
 
     /** True when every request is counted, and once. */
-    public boolean addsUp() {
+    public boolean isConsistent() {
         return requests == sum();
     }
 }
--- a/check/src/main/java/spanrill/check/Requests.java
+++ b/check/src/main/java/spanrill/check/Requests.java
@@ -39,18 +39,18 @@
      * @param answers heads of answers that its viewer read
      * @param faults what broke rule 1, each with its time
      */
-    record Judged(TapEvent.Ask ask, Fate fate, boolean owed, int answers, List<Fault> faults) {}
+    record Judged(TraceEvent.Request ask, Fate fate, boolean owed, int answers, List<Fault> faults) {}
 
     /** What broke rule 1. */
     record Fault(double t, String text) {}
 
     private static final class Open {
-        private final TapEvent.Ask ask;
-        private final List<TapEvent.Answer> answers = new ArrayList<>(1);
-        private TapEvent.AskLost lost;
-        private TapEvent.NoAnswer none;
+        private final TraceEvent.Request ask;
+        private final List<TraceEvent.Answer> answers = new ArrayList<>(1);
+        private TraceEvent.RequestAborted lost;
+        private TraceEvent.RequestTimedOut none;
 
-        Open(TapEvent.Ask ask) {
+        Open(TraceEvent.Request ask) {
             this.ask = ask;
         }
     }
@@ -61,17 +61,17 @@
     private final double end;
 
     /** Judges; events are in order of time. */
-    Requests(List<TapEvent> events, Attempts attempts) {
+    Requests(List<TraceEvent> events, Attempts attempts) {
         this.attempts = attempts;
         end = events.isEmpty() ? 0 : events.get(events.size() - 1).t();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.Ask ask) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.Request ask) {
                 open.putIfAbsent(ask.ask(), new Open(ask));
-            } else if (event instanceof TapEvent.Answer answer && open.containsKey(answer.ask())) {
+            } else if (event instanceof TraceEvent.Answer answer && open.containsKey(answer.ask())) {
                 open.get(answer.ask()).answers.add(answer);
-            } else if (event instanceof TapEvent.AskLost lost && open.containsKey(lost.ask())) {
+            } else if (event instanceof TraceEvent.RequestAborted lost && open.containsKey(lost.ask())) {
                 open.get(lost.ask()).lost = lost;
-            } else if (event instanceof TapEvent.NoAnswer none && open.containsKey(none.ask())) {
+            } else if (event instanceof TraceEvent.RequestTimedOut none && open.containsKey(none.ask())) {
                 open.get(none.ask()).none = none;
             }
         }
@@ -85,15 +85,15 @@
 
     private Judged judge(Open request) {
         List<Fault> faults = new ArrayList<>(0);
-        TapEvent.Ask ask = request.ask;
-        for (TapEvent.Answer more :
+        TraceEvent.Request ask = request.ask;
+        for (TraceEvent.Answer more :
                 request.answers.subList(Math.min(1, request.answers.size()), request.answers.size())) {
             faults.add(new Fault(more.t(), "ask " + ask.ask() + " was answered twice: now " + more.answer()));
         }
         boolean owed = false;
         Fate fate;
         if (!request.answers.isEmpty()) {
-            TapEvent.Answer first = request.answers.get(0);
+            TraceEvent.Answer first = request.answers.get(0);
             fate = of(first.answer());
             double late = first.t() - ask.t() - ask.patienceMs();
             if (late > attempts.away(ask.front(), ask.t(), first.t())) {
--- a/check/src/main/java/spanrill/check/Rule.java
+++ b/check/src/main/java/spanrill/check/Rule.java
@@ -5,5 +5,5 @@
 /** Judges one rule over the records of a run. */
 interface Rule {
     /** Judges. Records are in order of time. */
-    Verdict judge(TapEvent.Facts facts, List<TapEvent> events, Attempts attempts);
+    Verdict evaluate(TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts);
 }
--- a/check/src/main/java/spanrill/check/TermsRule.java
+++ b/check/src/main/java/spanrill/check/TermsRule.java
@@ -20,7 +20,7 @@
     private static final double SLACK = 2;
 
     @Override
-    public Verdict judge(TapEvent.Facts facts, List<TapEvent> events, Attempts attempts) {
+    public Verdict evaluate(TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts) {
         Verdict verdict = new Verdict(5, "cold boxes, floors and seats are kept");
         floors(verdict, facts, events, attempts);
         seats(verdict, facts, attempts);
@@ -28,14 +28,15 @@
         return verdict;
     }
 
-    private static void floors(Verdict verdict, TapEvent.Facts facts, List<TapEvent> events, Attempts attempts) {
+    private static void floors(
+            Verdict verdict, TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts) {
         Map<String, String> classes = new HashMap<>();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.Ask ask) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.Request ask) {
                 classes.put(ask.token(), ask.cls());
-            } else if (event instanceof TapEvent.SetUp setUp) {
+            } else if (event instanceof TraceEvent.SetUp setUp) {
                 floor(verdict, facts, setUp.t(), setUp.cls(), setUp.rung(), "set-up " + setUp.key());
-            } else if (event instanceof TapEvent.Rung rung && attempts.byKey(rung.key()) != null) {
+            } else if (event instanceof TraceEvent.RungChanged rung && attempts.byKey(rung.key()) != null) {
                 floor(
                         verdict,
                         facts,
@@ -43,7 +44,7 @@
                         attempts.byKey(rung.key()).setUp.cls(),
                         rung.rung(),
                         "attempt " + rung.key());
-            } else if (event instanceof TapEvent.Segment segment
+            } else if (event instanceof TraceEvent.SegmentReceived segment
                     && segment.rung() >= 0
                     && classes.containsKey(segment.token())) {
                 floor(
@@ -57,17 +58,18 @@
         }
     }
 
-    private static void floor(Verdict verdict, TapEvent.Facts facts, double t, String cls, int rung, String what) {
-        verdict.judged();
+    private static void floor(
+            Verdict verdict, TraceEvent.RunParameters facts, double t, String cls, int rung, String what) {
+        verdict.countCheck();
         if (rung < facts.classes().get(cls).floor()) {
-            verdict.broken(t, what + " of " + cls + " is at rung " + rung + ", below the floor");
+            verdict.addViolation(t, what + " of " + cls + " is at rung " + rung + ", below the floor");
         }
     }
 
-    private static void seats(Verdict verdict, TapEvent.Facts facts, Attempts attempts) {
+    private static void seats(Verdict verdict, TraceEvent.RunParameters facts, Attempts attempts) {
         Map<String, List<Attempt>> held = new HashMap<>();
         for (Attempt attempt : attempts.all()) {
-            TapEvent.SetUp s = attempt.setUp;
+            TraceEvent.SetUp s = attempt.setUp;
             int seats = facts.classes().get(s.cls()).seats();
             if (seats == 0) {
                 continue;
@@ -78,9 +80,9 @@
                     || o.setUp.token().equals(s.token())
                     || attempts.away(s.front(), o.setUp.t(), s.t()) > 0);
             others.add(attempt);
-            verdict.judged();
+            verdict.countCheck();
             if (others.size() > seats) {
-                verdict.broken(
+                verdict.addViolation(
                         s.t(),
                         "front " + s.front() + " holds " + others.size() + " sessions of "
                                 + s.title()
@@ -89,13 +91,13 @@
         }
     }
 
-    private static void cold(Verdict verdict, TapEvent.Facts facts, List<TapEvent> events) {
+    private static void cold(Verdict verdict, TraceEvent.RunParameters facts, List<TraceEvent> events) {
         Map<String, Double> started = new HashMap<>();
-        Map<String, ArrayDeque<TapEvent.SetUp>> window = new HashMap<>();
+        Map<String, ArrayDeque<TraceEvent.SetUp>> window = new HashMap<>();
         Map<String, Set<Integer>> knowing = new HashMap<>();
         Map<String, Set<Integer>> users = new HashMap<>();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.BoxStart start) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.BoxStarted start) {
                 if (start.cold()) {
                     started.put(start.box(), start.t());
                     window.put(start.box(), new ArrayDeque<>());
@@ -103,11 +105,13 @@
                     knowing.put(start.box(), new HashSet<>(users.getOrDefault(start.box(), Set.of())));
                 }
                 users.remove(start.box());
-            } else if (event instanceof TapEvent.Told told && knowing.containsKey(told.box()) && told.startedAt() > 0) {
+            } else if (event instanceof TraceEvent.BoxStateSent told
+                    && knowing.containsKey(told.box())
+                    && told.startedAt() > 0) {
                 knowing.get(told.box()).add(told.front());
-            } else if (event instanceof TapEvent.FrontUp up) {
+            } else if (event instanceof TraceEvent.FrontStarted up) {
                 knowing.values().forEach(set -> set.add(up.front()));
-            } else if (event instanceof TapEvent.SetUp setUp) {
+            } else if (event instanceof TraceEvent.SetUp setUp) {
                 users.computeIfAbsent(setUp.box(), k -> new HashSet<>()).add(setUp.front());
                 Double began = started.get(setUp.box());
                 if (began != null && setUp.t() - began < facts.coldMs()) {
@@ -119,12 +123,12 @@
 
     private static void cold(
             Verdict verdict,
-            TapEvent.Facts facts,
-            TapEvent.SetUp setUp,
+            TraceEvent.RunParameters facts,
+            TraceEvent.SetUp setUp,
             double began,
-            ArrayDeque<TapEvent.SetUp> window,
+            ArrayDeque<TraceEvent.SetUp> window,
             Set<Integer> knowing) {
-        verdict.judged();
+        verdict.countCheck();
         window.add(setUp);
         while (window.peek().t() <= setUp.t() - facts.fallMs()) {
             window.poll();
@@ -133,7 +137,7 @@
         double budget = facts.fallMultiple() * facts.places() / facts.coldMs() * share * facts.fallMs() + SLACK;
         long known = window.stream().filter(s -> knowing.contains(s.front())).count();
         if (window.size() > budget && known * 2 > window.size()) {
-            verdict.broken(
+            verdict.addViolation(
                     setUp.t(),
                     String.format(
                             "cold %s got %d set-ups in %.0f ms, budget %.1f",
--- a/check/src/main/java/spanrill/check/Tickets.java
+++ b/check/src/main/java/spanrill/check/TokenUsage.java
@@ -14,35 +14,35 @@
  * @param requests requests that viewers wrote
  * @param excused of these, those whose viewer left or whose front died or stood still meanwhile
  * @param tokens distinct tokens
- * @param leastAnswers answers to a request that is not excused, at least
- * @param mostAnswers answers to any request, at most
- * @param mostSpends times that a box spent one paid token, at most
- * @param spent paid tokens that were spent
+ * @param minAnswers answers to a request that is not excused, at least
+ * @param maxAnswers answers to any request, at most
+ * @param maxSpends times that a box spent one paid token, at most
+ * @param spentTokens paid tokens that were spent
  * @param joined requests that shared the session of another request of their token
- * @param failedUnknown requests answered "failed" though no box ran anything for their token
- * @param failedRan requests answered "failed" whose token a box did run
+ * @param failedWithoutRun requests answered "failed" though no box ran anything for their token
+ * @param failedAfterRun requests answered "failed" whose token a box did run
  */
-public record Tickets(
+public record TokenUsage(
         long requests,
         long excused,
         long tokens,
-        long leastAnswers,
-        long mostAnswers,
-        long mostSpends,
-        long spent,
+        long minAnswers,
+        long maxAnswers,
+        long maxSpends,
+        long spentTokens,
         long joined,
-        long failedUnknown,
-        long failedRan) {
+        long failedWithoutRun,
+        long failedAfterRun) {
 
     /** True when every request had exactly one answer and no token was spent twice. */
-    public boolean held() {
-        return requests > 0 && leastAnswers == 1 && mostAnswers == 1 && mostSpends <= 1;
+    public boolean passed() {
+        return requests > 0 && minAnswers == 1 && maxAnswers == 1 && maxSpends <= 1;
     }
 
     /** Counts. */
-    public static Tickets of(List<TapEvent> records) {
-        List<TapEvent> events = new ArrayList<>(records);
-        events.sort(Comparator.comparingDouble(TapEvent::t));
+    public static TokenUsage of(List<TraceEvent> records) {
+        List<TraceEvent> events = new ArrayList<>(records);
+        events.sort(Comparator.comparingDouble(TraceEvent::t));
         Attempts attempts = new Attempts(events);
         Map<String, Integer> plays = new HashMap<>();
         Set<String> tokens = new HashSet<>();
@@ -77,7 +77,7 @@
             }
         }
         long failedRan = failed.stream().filter(ran::contains).count();
-        return new Tickets(
+        return new TokenUsage(
                 requests,
                 excused,
                 tokens.size(),
--- a/check/src/main/java/spanrill/check/Verdict.java
+++ b/check/src/main/java/spanrill/check/Verdict.java
@@ -17,11 +17,11 @@
         this.name = name;
     }
 
-    void judged() {
+    void countCheck() {
         judged++;
     }
 
-    void broken(double t, String text) {
+    void addViolation(double t, String text) {
         broken++;
         if (violations.size() < MOST_TOLD) {
             violations.add(String.format(java.util.Locale.ROOT, "%.1f ms: %s", t, text));
@@ -39,17 +39,17 @@
     }
 
     /** True when nothing broke it. */
-    public boolean held() {
+    public boolean passed() {
         return broken == 0;
     }
 
     /** How many things it was judged on. */
-    public long judgedCount() {
+    public long checkCount() {
         return judged;
     }
 
     /** How often it was broken. */
-    public long brokenCount() {
+    public long violationCount() {
         return broken;
     }
 
--- a/check/src/main/java/spanrill/check/Viewers.java
+++ b/check/src/main/java/spanrill/check/ViewerOutcomes.java
@@ -13,18 +13,19 @@
  * The viewers of a run: a viewer that is refused comes again, so that requests refused say little of viewers
  * lost. Each viewer that came is counted once.
  */
-public final class Viewers {
+public final class ViewerOutcomes {
     /**
      * One viewer.
      *
      * @param name its name
-     * @param cls class of what it wants
-     * @param cameAt when it first wanted to watch, ms of the records' clock
+     * @param serviceClass class of what it wants
+     * @param arrivedMs when it first wanted to watch, ms of the records' clock
      * @param waitMs from then until it first played, waits between its tries included; NaN when it never did
-     * @param asks requests that it wrote
-     * @param went why it doesn't come again, or null when it was still there at the end of the records
+     * @param requests requests that it wrote
+     * @param departureReason why it doesn't come again, or null when it was still there at the end of the records
      */
-    public record Viewer(String name, String cls, double cameAt, double waitMs, int asks, String went) {
+    public record Viewer(
+            String name, String serviceClass, double arrivedMs, double waitMs, int requests, String departureReason) {
         /** True when it played at all. */
         public boolean played() {
             return !Double.isNaN(waitMs);
@@ -45,7 +46,7 @@
     public record Group(
             long came, long played, long gaveUp, long left, long still, double waitMsP50, double waitMsP99) {
         /** True when each is counted once. */
-        public boolean addsUp() {
+        public boolean isConsistent() {
             return came == played + gaveUp + left + still;
         }
     }
@@ -65,38 +66,38 @@
 
     private final List<Viewer> viewers = new ArrayList<>();
 
-    private Viewers() {}
+    private ViewerOutcomes() {}
 
     /** Follows all viewers of a run. */
-    public static Viewers of(List<TapEvent> records) {
-        List<TapEvent> events = new ArrayList<>(records);
-        events.sort(Comparator.comparingDouble(TapEvent::t));
+    public static ViewerOutcomes of(List<TraceEvent> records) {
+        List<TraceEvent> events = new ArrayList<>(records);
+        events.sort(Comparator.comparingDouble(TraceEvent::t));
         Map<String, Seen> all = new LinkedHashMap<>();
         Map<Long, Seen> asked = new LinkedHashMap<>();
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.Came came) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.ViewerArrived came) {
                 all.computeIfAbsent(came.viewer(), k -> new Seen(came.cls(), came.t()));
-            } else if (event instanceof TapEvent.Ask ask) {
+            } else if (event instanceof TraceEvent.Request ask) {
                 Seen seen = all.computeIfAbsent(ask.viewer(), k -> new Seen(ask.cls(), ask.t()));
                 seen.asks++;
                 asked.put(ask.ask(), seen);
-            } else if (event instanceof TapEvent.Answer answer && asked.containsKey(answer.ask())) {
+            } else if (event instanceof TraceEvent.Answer answer && asked.containsKey(answer.ask())) {
                 Seen seen = asked.get(answer.ask());
                 if (answer.answer().equals("plays") && Double.isNaN(seen.playedAt)) {
                     seen.playedAt = answer.t();
                 }
-            } else if (event instanceof TapEvent.Went went && all.containsKey(went.viewer())) {
+            } else if (event instanceof TraceEvent.ViewerDeparted went && all.containsKey(went.viewer())) {
                 all.get(went.viewer()).went = went.why();
             }
         }
-        Viewers viewers = new Viewers();
+        ViewerOutcomes viewers = new ViewerOutcomes();
         all.forEach((name, seen) -> viewers.viewers.add(
                 new Viewer(name, seen.cls, seen.cameAt, seen.playedAt - seen.cameAt, seen.asks, seen.went)));
         return viewers;
     }
 
     /** Each viewer, in the order in which they came. */
-    public List<Viewer> each() {
+    public List<Viewer> viewers() {
         return List.copyOf(viewers);
     }
 
@@ -108,19 +109,23 @@
     /** By class of session, sorted by name. */
     public Map<String, Group> byClass() {
         Map<String, Group> groups = new TreeMap<>();
-        for (String cls : new TreeSet<>(viewers.stream().map(Viewer::cls).toList())) {
+        for (String cls :
+                new TreeSet<>(viewers.stream().map(Viewer::serviceClass).toList())) {
             groups.put(
-                    cls, group(viewers.stream().filter(v -> v.cls().equals(cls)).toList()));
+                    cls,
+                    group(viewers.stream()
+                            .filter(v -> v.serviceClass().equals(cls))
+                            .toList()));
         }
         return groups;
     }
 
     /** What became of those who never played, by the word that they went with. */
-    public Map<String, Long> wentWithoutPlaying() {
+    public Map<String, Long> departuresWithoutPlaying() {
         Map<String, Long> counts = new TreeMap<>();
         viewers.stream()
-                .filter(v -> !v.played() && v.went() != null)
-                .forEach(v -> counts.merge(v.went(), 1L, Long::sum));
+                .filter(v -> !v.played() && v.departureReason() != null)
+                .forEach(v -> counts.merge(v.departureReason(), 1L, Long::sum));
         return counts;
     }
 
@@ -128,9 +133,12 @@
         double[] waits =
                 of.stream().filter(Viewer::played).mapToDouble(Viewer::waitMs).toArray();
         Arrays.sort(waits);
-        long left =
-                of.stream().filter(v -> !v.played() && "left".equals(v.went())).count();
-        long still = of.stream().filter(v -> !v.played() && v.went() == null).count();
+        long left = of.stream()
+                .filter(v -> !v.played() && "left".equals(v.departureReason()))
+                .count();
+        long still = of.stream()
+                .filter(v -> !v.played() && v.departureReason() == null)
+                .count();
         return new Group(
                 of.size(),
                 waits.length,
--- a/check/src/test/java/spanrill/check/CheckerTest.java
+++ b/check/src/test/java/spanrill/check/CheckerTest.java
@@ -12,32 +12,36 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spanrill.check.TapEvent.Answer;
-import spanrill.check.TapEvent.Ask;
-import spanrill.check.TapEvent.AskLost;
-import spanrill.check.TapEvent.BoxDown;
-import spanrill.check.TapEvent.BoxMute;
-import spanrill.check.TapEvent.BoxStart;
-import spanrill.check.TapEvent.CallOffAnswer;
-import spanrill.check.TapEvent.End;
-import spanrill.check.TapEvent.FrontDown;
-import spanrill.check.TapEvent.FrontStall;
-import spanrill.check.TapEvent.NoAnswer;
-import spanrill.check.TapEvent.Ran;
-import spanrill.check.TapEvent.Rung;
-import spanrill.check.TapEvent.Segment;
-import spanrill.check.TapEvent.SetUp;
-import spanrill.check.TapEvent.SetUpAnswer;
-import spanrill.check.TapEvent.Told;
+import spanrill.check.TraceEvent.Answer;
+import spanrill.check.TraceEvent.AttemptEnded;
+import spanrill.check.TraceEvent.AttemptStarted;
+import spanrill.check.TraceEvent.BoxMuted;
+import spanrill.check.TraceEvent.BoxStarted;
+import spanrill.check.TraceEvent.BoxStateSent;
+import spanrill.check.TraceEvent.BoxStopped;
+import spanrill.check.TraceEvent.CancelAnswer;
+import spanrill.check.TraceEvent.FrontStalled;
+import spanrill.check.TraceEvent.FrontStopped;
+import spanrill.check.TraceEvent.Request;
+import spanrill.check.TraceEvent.RequestAborted;
+import spanrill.check.TraceEvent.RequestTimedOut;
+import spanrill.check.TraceEvent.RungChanged;
+import spanrill.check.TraceEvent.SegmentReceived;
+import spanrill.check.TraceEvent.SetUp;
+import spanrill.check.TraceEvent.SetUpAnswer;
 
 /** Each rule: a run that keeps it passes, and the same run with one planted fault is caught, by it alone. */
 class CheckerTest {
-    private final List<TapEvent> events = new ArrayList<>(List.of(facts(null)));
+    private final List<TraceEvent> events = new ArrayList<>(List.of(facts(null)));
 
-    private static TapEvent.Facts facts(Double spare) {
-        return new TapEvent.Facts(
+    private static TraceEvent.RunParameters facts(Double spare) {
+        return new TraceEvent.RunParameters(
                 0,
-                Map.of("free", new TapEvent.ClassFacts(false, 0, 0), "paid", new TapEvent.ClassFacts(true, 1, 2)),
+                Map.of(
+                        "free",
+                        new TraceEvent.ClassParameters(false, 0, 0),
+                        "paid",
+                        new TraceEvent.ClassParameters(true, 1, 2)),
                 20,
                 250,
                 10_000,
@@ -49,13 +53,13 @@
                 spare == null ? null : 10_000.0);
     }
 
-    private CheckerTest add(TapEvent... more) {
+    private CheckerTest add(TraceEvent... more) {
         events.addAll(List.of(more));
         return this;
     }
 
     private CheckerTest ask(double t, long ask, String token, String cls) {
-        return add(new Ask(t, ask, 0, token, cls, "title", 3000));
+        return add(new Request(t, ask, 0, token, cls, "title", 3000));
     }
 
     private CheckerTest setUp(double t, String box, String token, int attempt, String cls) {
@@ -63,7 +67,7 @@
     }
 
     private CheckerTest runs(double t, String key) {
-        return add(new Ran(t, key), new SetUpAnswer(t, key, 200, null));
+        return add(new AttemptStarted(t, key), new SetUpAnswer(t, key, 200, null));
     }
 
     private CheckerTest turnedAway(double t, String key) {
@@ -76,9 +80,9 @@
 
     private void brokenIs(int... rules) {
         // The records' end: whatever was still owed is overdue by then.
-        add(new BoxDown(1e6, "nowhere", "end"));
-        List<Integer> broken = Checker.judge(events).stream()
-                .filter(v -> !v.held())
+        add(new BoxStopped(1e6, "nowhere", "end"));
+        List<Integer> broken = RuleChecker.evaluate(events).stream()
+                .filter(v -> !v.passed())
                 .map(Verdict::rule)
                 .toList();
         assertEquals(java.util.Arrays.stream(rules).boxed().toList(), broken);
@@ -96,7 +100,7 @@
     @Test
     void aRunThatKeepsAllRules() {
         paidThatPlays()
-                .add(new Segment(100, "t", 0, 2, 10, 5), new End(500, "t.2", "released"))
+                .add(new SegmentReceived(100, "t", 0, 2, 10, 5), new AttemptEnded(500, "t.2", "released"))
                 .brokenIs();
     }
 
@@ -119,16 +123,16 @@
 
     @Test
     void aLostConnectionIsCaughtUnlessTheViewerLeftOrTheFrontDied() {
-        ask(10, 1, "t", "free").add(new AskLost(50, 1, true)).brokenIs();
-        ask(10, 2, "u", "free").add(new AskLost(50, 2, false)).brokenIs(1);
-        add(new FrontDown(45, 0)).brokenIs();
+        ask(10, 1, "t", "free").add(new RequestAborted(50, 1, true)).brokenIs();
+        ask(10, 2, "u", "free").add(new RequestAborted(50, 2, false)).brokenIs(1);
+        add(new FrontStopped(45, 0)).brokenIs();
     }
 
     @Test
     void aFrontThatStoodStillHasThatMuchMoreTime() {
         ask(10, 1, "t", "free")
                 .answer(3900, 1, "plays")
-                .add(new FrontStall(500, 0, 1000))
+                .add(new FrontStalled(500, 0, 1000))
                 .brokenIs();
     }
 
@@ -136,15 +140,15 @@
     void aFrontThatStoodStillOwesTheAnswerByAsMuchLater() {
         // Stood 3 s of the 3 s: nobody waits any more when it runs again.
         ask(10, 1, "t", "free")
-                .add(new FrontStall(500, 0, 3000), new NoAnswer(3210, 1))
+                .add(new FrontStalled(500, 0, 3000), new RequestTimedOut(3210, 1))
                 .brokenIs();
         // Stood 100 ms: the viewer that waited 200 ms more than its time should have had its answer.
-        events.removeIf(e -> !(e instanceof TapEvent.Facts));
+        events.removeIf(e -> !(e instanceof TraceEvent.RunParameters));
         ask(10, 1, "t", "free")
-                .add(new FrontStall(500, 0, 100), new NoAnswer(3210, 1))
+                .add(new FrontStalled(500, 0, 100), new RequestTimedOut(3210, 1))
                 .brokenIs(1);
-        assertEquals(1, Tally.of(events).unanswered());
-        assertEquals(0, Tally.of(events).excused());
+        assertEquals(1, RequestTally.of(events).unanswered());
+        assertEquals(0, RequestTally.of(events).excused());
     }
 
     @Test
@@ -153,18 +157,18 @@
                 .ask(20, 2, "u", "free")
                 .ask(30, 3, "v", "free")
                 .answer(60, 1, "plays")
-                .add(new FrontDown(70, 0), new AskLost(72, 2, false))
+                .add(new FrontStopped(70, 0), new RequestAborted(72, 2, false))
                 .brokenIs();
-        Tally tally = Tally.of(events);
-        assertEquals(new Tally(3, 1, 0, 0, 0, 0, 0, 0, 2), tally);
-        assertTrue(tally.addsUp());
+        RequestTally tally = RequestTally.of(events);
+        assertEquals(new RequestTally(3, 1, 0, 0, 0, 0, 0, 0, 2), tally);
+        assertTrue(tally.isConsistent());
     }
 
     @Test
     void aPaidSetUpSentAgainAfterATimeOutIsCaught() {
         ask(10, 1, "t", "paid")
                 .setUp(20, "a", "t", 1, "paid")
-                .add(new End(1000, "t.1", "called off"))
+                .add(new AttemptEnded(1000, "t.1", "called off"))
                 .setUp(1001, "b", "t", 2, "paid")
                 .runs(1030, "t.2")
                 .answer(1040, 1, "plays")
@@ -175,21 +179,21 @@
     void aCallOffThatCameBeforeTheBeginningIsProof() {
         ask(10, 1, "t", "paid")
                 .setUp(20, "a", "t", 1, "paid")
-                .add(new CallOffAnswer(100, "t.1", false))
+                .add(new CancelAnswer(100, "t.1", false))
                 .setUp(110, "b", "t", 2, "paid")
                 .runs(160, "t.2")
                 .answer(165, 1, "plays")
                 .brokenIs();
-        add(new Ran(150, "t.1")).brokenIs(2);
+        add(new AttemptStarted(150, "t.1")).brokenIs(2);
     }
 
     @Test
     void aProofThatCameAfterTheNextSetUpIsNone() {
         ask(10, 1, "t", "paid")
                 .setUp(20, "a", "t", 1, "paid")
-                .add(new End(90, "t.1", "called off"))
+                .add(new AttemptEnded(90, "t.1", "called off"))
                 .setUp(110, "b", "t", 2, "paid")
-                .add(new CallOffAnswer(120, "t.1", false))
+                .add(new CancelAnswer(120, "t.1", false))
                 .runs(160, "t.2")
                 .answer(165, 1, "plays")
                 .brokenIs(2);
@@ -199,7 +203,7 @@
     void aRefusalOfAPaidOneThatMayHaveRunIsCaught() {
         ask(10, 1, "t", "paid")
                 .setUp(20, "a", "t", 1, "paid")
-                .add(new End(1000, "t.1", "called off"))
+                .add(new AttemptEnded(1000, "t.1", "called off"))
                 .answer(1040, 1, "refused")
                 .brokenIs(2);
     }
@@ -208,7 +212,7 @@
     void aFailureOfAPaidOneThatMayHaveRunIsRight() {
         ask(10, 1, "t", "paid")
                 .setUp(20, "a", "t", 1, "paid")
-                .add(new End(1000, "t.1", "called off"))
+                .add(new AttemptEnded(1000, "t.1", "called off"))
                 .answer(1040, 1, "failed")
                 .brokenIs();
     }
@@ -226,7 +230,7 @@
     void aMoveThatGoesOnWithOneThatPlayedIsRight() {
         paidThatPlays()
                 .add(
-                        new End(900, "t.2", "released"),
+                        new AttemptEnded(900, "t.2", "released"),
                         new SetUp(950, "c", 0, "t", "t.3", "paid", "title", 1, false, "t.2"))
                 .runs(990, "t.3")
                 .brokenIs();
@@ -239,14 +243,14 @@
                 .setUp(30, "b", "t", 2, "free")
                 .runs(60, "t.2")
                 .answer(65, 1, "plays")
-                .add(new End(400, "t.1", "called off"))
+                .add(new AttemptEnded(400, "t.1", "called off"))
                 .brokenIs(3);
     }
 
     @Test
     void anEndThatABoxWithoutALineCanNotSeeIsNotJudged() {
         ask(10, 1, "t", "free")
-                .add(new BoxMute(15, "a", true, null))
+                .add(new BoxMuted(15, "a", true, null))
                 .setUp(20, "a", "t", 1, "free")
                 .setUp(700, "b", "t", 2, "free")
                 .runs(760, "t.2")
@@ -256,7 +260,7 @@
 
     @Test
     void aSetUpAfterADrainWasHeardIsCaught() {
-        add(new Told(100, 0, "a", "draining", 0))
+        add(new BoxStateSent(100, 0, "a", "draining", 0))
                 .ask(310, 1, "t", "free")
                 .setUp(349, "a", "t", 1, "free")
                 .runs(380, "t.1")
@@ -271,7 +275,7 @@
 
     @Test
     void aBoxThatIsListedReadyAgainMayBeUsed() {
-        add(new Told(100, 0, "a", "gone", 0), new Told(800, 0, "a", "ready", 700))
+        add(new BoxStateSent(100, 0, "a", "gone", 0), new BoxStateSent(800, 0, "a", "ready", 700))
                 .ask(900, 1, "t", "free")
                 .setUp(950, "a", "t", 1, "free")
                 .runs(980, "t.1")
@@ -281,9 +285,9 @@
 
     /** 2 x 20 places / 10 s x half warm x 1.5 s and two more: nine are too many, if the front was told. */
     private CheckerTest flood(boolean told, int many) {
-        add(new BoxStart(100, "a", true));
+        add(new BoxStarted(100, "a", true));
         if (told) {
-            add(new Told(150, 0, "a", "ready", 100));
+            add(new BoxStateSent(150, 0, "a", "ready", 100));
         }
         for (int i = 0; i < many; i++) {
             ask(200 + i, i, "t" + i, "free")
@@ -308,10 +312,10 @@
 
     @Test
     void playingBelowTheFloorIsCaughtWhereverItShows() {
-        paidThatPlays().add(new Segment(100, "t", 0, 0, 10, 5)).brokenIs(5);
-        events.removeIf(e -> e instanceof Segment);
-        add(new Rung(100, "t.2", 0)).brokenIs(5);
-        events.removeIf(e -> e instanceof Rung);
+        paidThatPlays().add(new SegmentReceived(100, "t", 0, 0, 10, 5)).brokenIs(5);
+        events.removeIf(e -> e instanceof SegmentReceived);
+        add(new RungChanged(100, "t.2", 0)).brokenIs(5);
+        events.removeIf(e -> e instanceof RungChanged);
         ask(110, 2, "u", "paid")
                 .add(new SetUp(120, "b", 0, "u", "u.1", "paid", "title", 0, true, null))
                 .turnedAway(130, "u.1")
@@ -328,21 +332,21 @@
                     .answer(40 + i * 100, i, "plays");
         }
         brokenIs(5);
-        add(new End(150, "t0.1", "released")).brokenIs();
+        add(new AttemptEnded(150, "t0.1", "released")).brokenIs();
     }
 
     @Test
     void aSetUpThatWaitedAtASilentBoxIsNotNewWhenItIsRead() {
         ask(10, 1, "t", "free")
                 .add(
-                        new Told(100, 0, "a", "draining", 0),
-                        new BoxMute(50, "a", true, "east"),
-                        new BoxMute(600, "a", false, "east"))
+                        new BoxStateSent(100, 0, "a", "draining", 0),
+                        new BoxMuted(50, "a", true, "east"),
+                        new BoxMuted(600, "a", false, "east"))
                 .setUp(601, "a", "t", 1, "free")
                 .turnedAway(602, "t.1")
                 .answer(610, 1, "refused")
                 .brokenIs();
-        events.removeIf(e -> e instanceof BoxDown);
+        events.removeIf(e -> e instanceof BoxStopped);
         setUp(900, "a", "t", 2, "free").turnedAway(902, "t.2").brokenIs(4);
     }
 
@@ -375,8 +379,10 @@
                 .setUp(11_030, "b", "t", 2, "free")
                 .runs(11_040, "t.2")
                 .brokenIs(1);
-        events.removeIf(
-                e -> e instanceof SetUp || e instanceof Ran || e instanceof SetUpAnswer || e instanceof BoxDown);
+        events.removeIf(e -> e instanceof SetUp
+                || e instanceof AttemptStarted
+                || e instanceof SetUpAnswer
+                || e instanceof BoxStopped);
         setUp(10_980, "a", "t", 1, "free")
                 .turnedAway(10_990, "t.1")
                 .setUp(11_200, "b", "t", 2, "free")
@@ -395,16 +401,16 @@
                 .runs(40, "t.1")
                 .answer(45, 1, "plays")
                 .add(
-                        new End(500, "t.1", "released"),
+                        new AttemptEnded(500, "t.1", "released"),
                         new SetUp(520, "b", 0, "t", "t-1.2", "free", "title", 1, false, "t.1"),
                         new SetUpAnswer(522, "t-1.2", 503, "places"))
                 .brokenIs();
-        events.removeIf(e -> e instanceof BoxDown);
+        events.removeIf(e -> e instanceof BoxStopped);
         add(new SetUp(530, "c", 0, "t", "t-1.3", "free", "title", 1, false, "t.1"))
                 .runs(550, "t-1.3")
                 .brokenIs();
         events.set(0, facts(0.75));
-        events.removeIf(e -> e instanceof BoxDown);
+        events.removeIf(e -> e instanceof BoxStopped);
         brokenIs(6);
     }
 
@@ -415,29 +421,29 @@
                 .answer(66, 2, "plays")
                 .ask(300, 3, "u", "paid")
                 .setUp(310, "a", "u", 1, "paid")
-                .add(new End(900, "u.1", "called off"))
+                .add(new AttemptEnded(900, "u.1", "called off"))
                 .answer(950, 3, "failed")
-                .add(new BoxDown(1e6, "nowhere", "end"));
-        assertEquals(new Tickets(3, 0, 2, 1, 1, 1, 1, 1, 1, 0), Tickets.of(events));
-        assertTrue(Tickets.of(events).held());
+                .add(new BoxStopped(1e6, "nowhere", "end"));
+        assertEquals(new TokenUsage(3, 0, 2, 1, 1, 1, 1, 1, 1, 0), TokenUsage.of(events));
+        assertTrue(TokenUsage.of(events).passed());
         setUp(400, "c", "t", 3, "paid").runs(430, "t.3");
-        assertEquals(2, Tickets.of(events).mostSpends());
-        assertTrue(!Tickets.of(events).held(), "a double spend");
-        events.removeIf(e -> e instanceof Ran ran && ran.key().equals("t.3"));
-        assertTrue(Tickets.of(events).held());
+        assertEquals(2, TokenUsage.of(events).maxSpends());
+        assertTrue(!TokenUsage.of(events).passed(), "a double spend");
+        events.removeIf(e -> e instanceof AttemptStarted ran && ran.key().equals("t.3"));
+        assertTrue(TokenUsage.of(events).passed());
         answer(700, 2, "plays");
-        assertTrue(!Tickets.of(events).held(), "a double answer");
+        assertTrue(!TokenUsage.of(events).passed(), "a double answer");
     }
 
     @Test
     void recordsAreWrittenAndReadBack(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("tap.jsonl");
         paidThatPlays();
-        try (Tap tap = new Tap(file)) {
-            events.forEach(tap::put);
+        try (EventRecorder tap = new EventRecorder(file)) {
+            events.forEach(tap::record);
             assertEquals(events, tap.events());
         }
-        assertEquals(events, Tap.read(file));
+        assertEquals(events, EventRecorder.read(file));
     }
 
     @Test
@@ -445,20 +451,21 @@
         Path file = folder.resolve("tap.jsonl");
         for (String bad : List.of("{", "{\"kind\":\"wonder\"}", "null", "[]", "{\"kind\":\"ask\",\"t\":\"x\"}")) {
             Files.writeString(file, "{\"kind\":\"boxDown\",\"t\":1,\"box\":\"a\",\"why\":\"w\"}\n" + bad + "\n");
-            String told = assertThrows(IOException.class, () -> Tap.read(file)).getMessage();
+            String told = assertThrows(IOException.class, () -> EventRecorder.read(file))
+                    .getMessage();
             assertTrue(told.contains("tap.jsonl:2: is no record"), told);
         }
         Files.write(file, new byte[] {(byte) 0xff, (byte) 0xfe});
-        assertTrue(assertThrows(IOException.class, () -> Tap.read(file))
+        assertTrue(assertThrows(IOException.class, () -> EventRecorder.read(file))
                 .getMessage()
                 .contains("UTF-8"));
     }
 
     @Test
     void recordsWithoutFactsAreNotJudged() {
-        assertThrows(IllegalArgumentException.class, () -> Checker.judge(List.of(new FrontDown(1, 0))));
+        assertThrows(IllegalArgumentException.class, () -> RuleChecker.evaluate(List.of(new FrontStopped(1, 0))));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Checker.judge(List.of(facts(null), new Ask(1, 1, 0, "t", "nobody", "title", 100))));
+                () -> RuleChecker.evaluate(List.of(facts(null), new Request(1, 1, 0, "t", "nobody", "title", 100))));
     }
 }
--- a/cli/src/main/java/spanrill/cli/CheckCommand.java
+++ b/cli/src/main/java/spanrill/cli/CheckCommand.java
@@ -14,9 +14,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import spanrill.check.Checker;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.RuleChecker;
+import spanrill.check.TraceEvent;
 import spanrill.check.Verdict;
 
 /** Judges records of a run. */
@@ -36,7 +36,7 @@
 
     @Override
     public Integer call() throws Exception {
-        List<TapEvent> events = new ArrayList<>();
+        List<TraceEvent> events = new ArrayList<>();
         List<Verdict> verdicts;
         try {
             if (Files.isDirectory(taps)) {
@@ -50,12 +50,12 @@
                     throw new BadInput(taps + ": has no .jsonl file");
                 }
                 for (Path file : files) {
-                    events.addAll(Tap.read(file));
+                    events.addAll(EventRecorder.read(file));
                 }
             } else {
-                events.addAll(Tap.read(taps));
+                events.addAll(EventRecorder.read(taps));
             }
-            verdicts = Checker.judge(events);
+            verdicts = RuleChecker.evaluate(events);
         } catch (IOException | IllegalArgumentException e) {
             throw new BadInput(e.getMessage());
         }
@@ -66,6 +66,6 @@
             Report.rulesTable(out, verdicts);
         }
         out.flush();
-        return verdicts.stream().allMatch(Verdict::held) ? Exit.HELD : Exit.RULE_BROKEN;
+        return verdicts.stream().allMatch(Verdict::passed) ? Exit.HELD : Exit.RULE_BROKEN;
     }
 }
--- a/cli/src/main/java/spanrill/cli/FrontProcesses.java
+++ b/cli/src/main/java/spanrill/cli/FrontProcesses.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.TraceEvent;
 import spanrill.model.player.FrontChoice;
 import spanrill.standin.trouble.Fronts;
 import spanrill.standin.viewer.FrontDoor;
@@ -49,12 +49,12 @@
     private final List<Front> fronts = new ArrayList<>();
     private final Config config;
     private final Path folder;
-    private final Tap tap;
+    private final EventRecorder tap;
     private final FrontChoice choice;
     // Starting and killing processes takes its time; the loops must not wait for it.
     private final ExecutorService worker = Executors.newCachedThreadPool();
 
-    FrontProcesses(int count, int zones, List<Double> noticeMs, Config config, Path folder, Tap tap) {
+    FrontProcesses(int count, int zones, List<Double> noticeMs, Config config, Path folder, EventRecorder tap) {
         for (int i = 0; i < count; i++) {
             fronts.add(new Front());
         }
@@ -122,7 +122,7 @@
                     front.port = event.path("port").asInt();
                     choice.up(number);
                     front.cpuAtStart = process.info().totalCpuDuration().orElse(Duration.ZERO);
-                    tap.put(new TapEvent.FrontUp(tap.now(), number));
+                    tap.record(new TraceEvent.FrontStarted(tap.nowMs(), number));
                     front.listening.complete(front.port);
                 }
             }
@@ -145,8 +145,8 @@
         front.cpuMs += front.cpu.minus(front.cpuAtStart).toNanos() / 1e6;
         front.cpu = front.cpuAtStart = Duration.ZERO;
         // Recorded first: what it could not answer any more is excused from here on.
-        tap.put(new TapEvent.FrontDown(tap.now(), number));
-        choice.down(tap.now(), number);
+        tap.record(new TraceEvent.FrontStopped(tap.nowMs(), number));
+        choice.down(tap.nowMs(), number);
         front.process.destroyForcibly();
     }
 
@@ -166,14 +166,15 @@
         Front front = fronts.get(number);
         worker.execute(() -> {
             try {
-                double before = tap.now();
+                double before = tap.nowMs();
                 new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(front.process.pid()))
                         .start()
                         .waitFor();
                 if (on) {
                     front.stalledAt = before;
                 } else {
-                    tap.put(new TapEvent.FrontStall(front.stalledAt, number, tap.now() - front.stalledAt + 20));
+                    tap.record(
+                            new TraceEvent.FrontStalled(front.stalledAt, number, tap.nowMs() - front.stalledAt + 20));
                 }
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -223,7 +224,7 @@
 
     @Override
     public int pick(int hall, double draw) {
-        return choice.pick(tap.now(), hall, draw);
+        return choice.pick(tap.nowMs(), hall, draw);
     }
 
     @Override
@@ -242,7 +243,7 @@
         for (int i = 0; i < fronts.size(); i++) {
             Front front = fronts.get(i);
             if (front.process != null && front.process.isAlive()) {
-                tap.put(new TapEvent.FrontDown(tap.now(), i));
+                tap.record(new TraceEvent.FrontStopped(tap.nowMs(), i));
                 front.process.destroyForcibly().onExit().join();
             }
         }
--- a/cli/src/main/java/spanrill/cli/HealedHall.java
+++ b/cli/src/main/java/spanrill/cli/HealedHall.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import spanrill.check.TapEvent;
+import spanrill.check.TraceEvent;
 import spanrill.day.Day;
 import spanrill.model.trouble.Effect;
 
@@ -25,7 +25,7 @@
     static final int WITHIN_MS = 1000;
 
     /** All healings of a day. {@code began}: start of the day on the records' clock. */
-    static List<HealedHall> of(List<TapEvent> events, List<Effect> effects, double began, Day day) {
+    static List<HealedHall> of(List<TraceEvent> events, List<Effect> effects, double began, Day day) {
         List<HealedHall> all = new ArrayList<>();
         for (Effect effect : effects) {
             if (effect instanceof Effect.HallCut cut && !cut.on()) {
@@ -35,13 +35,13 @@
         return all;
     }
 
-    private static HealedHall of(List<TapEvent> events, double healed, int hall, Day day) {
+    private static HealedHall of(List<TraceEvent> events, double healed, int hall, Day day) {
         Map<Long, String> asks = new HashMap<>();
         Map<String, Double> answered = new LinkedHashMap<>();
         long plays = 0;
         long refused = 0;
-        for (TapEvent event : events) {
-            if (event instanceof TapEvent.Ask ask) {
+        for (TraceEvent event : events) {
+            if (event instanceof TraceEvent.Request ask) {
                 String viewer = ask.viewer();
                 if (ask.t() >= healed
                         && ask.t() < healed + WITHIN_MS
@@ -50,7 +50,7 @@
                     answered.put(viewer, Double.NaN);
                     asks.put(ask.ask(), viewer);
                 }
-            } else if (event instanceof TapEvent.Answer answer
+            } else if (event instanceof TraceEvent.Answer answer
                     && asks.containsKey(answer.ask())
                     && Double.isNaN(answered.get(asks.get(answer.ask())))) {
                 answered.put(asks.get(answer.ask()), answer.t() - healed);
--- a/cli/src/main/java/spanrill/cli/Judgement.java
+++ b/cli/src/main/java/spanrill/cli/Judgement.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import spanrill.check.Checker;
 import spanrill.check.EarlyEnds;
-import spanrill.check.Tally;
-import spanrill.check.TapEvent;
+import spanrill.check.RequestTally;
+import spanrill.check.RuleChecker;
+import spanrill.check.TraceEvent;
 import spanrill.check.Verdict;
-import spanrill.check.Viewers;
+import spanrill.check.ViewerOutcomes;
 
 /** What the records of a run say: rules, requests, viewers, and sessions that ended early. */
-record Judgement(List<Verdict> verdicts, Tally tally, Viewers viewers, List<EarlyEnds.End> ends) {
+record Judgement(List<Verdict> verdicts, RequestTally tally, ViewerOutcomes viewers, List<EarlyEnds.End> ends) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
@@ -23,12 +23,16 @@
      *
      * @throws IllegalArgumentException when the records can't be judged
      */
-    static Judgement of(List<TapEvent> records) {
-        return new Judgement(Checker.judge(records), Tally.of(records), Viewers.of(records), EarlyEnds.of(records));
+    static Judgement of(List<TraceEvent> records) {
+        return new Judgement(
+                RuleChecker.evaluate(records),
+                RequestTally.of(records),
+                ViewerOutcomes.of(records),
+                EarlyEnds.find(records));
     }
 
     boolean addsUp() {
-        return tally.addsUp() && viewers.all().addsUp();
+        return tally.isConsistent() && viewers.all().isConsistent();
     }
 
     boolean held() {
@@ -39,20 +43,20 @@
     List<String> whyNotHeld() {
         List<String> reasons = new ArrayList<>();
         for (Verdict verdict : verdicts) {
-            if (!verdict.held()) {
+            if (!verdict.passed()) {
                 reasons.add(String.format(
                         Locale.ROOT,
                         "rule %d (%s) was broken %d times",
                         verdict.rule(),
                         verdict.name(),
-                        verdict.brokenCount()));
+                        verdict.violationCount()));
             }
         }
-        if (!tally.addsUp()) {
+        if (!tally.isConsistent()) {
             reasons.add("the counts don't add up: " + tally.requests() + " requests, but " + tally.sum()
                     + " accounted for");
         }
-        if (!viewers.all().addsUp()) {
+        if (!viewers.all().isConsistent()) {
             reasons.add("the viewers don't add up: " + viewers.all());
         }
         return reasons;
@@ -89,11 +93,11 @@
         ObjectNode classes = root.putObject("byClass");
         viewers.byClass().forEach((cls, group) -> put(classes.putObject(cls), group));
         ObjectNode went = root.putObject("wentWithoutPlaying");
-        viewers.wentWithoutPlaying().forEach(went::put);
+        viewers.departuresWithoutPlaying().forEach(went::put);
         return root;
     }
 
-    private static ObjectNode put(ObjectNode node, Viewers.Group group) {
+    private static ObjectNode put(ObjectNode node, ViewerOutcomes.Group group) {
         node.put("came", group.came())
                 .put("played", group.played())
                 .put("gaveUp", group.gaveUp())
@@ -110,7 +114,7 @@
 
     private ObjectNode endedEarlyJson() {
         ObjectNode node = JSON.createObjectNode();
-        EarlyEnds.counts(ends).forEach((cause, count) -> node.put(camel(cause), count));
+        EarlyEnds.countByCause(ends).forEach((cause, count) -> node.put(camel(cause), count));
         return node;
     }
 
@@ -152,12 +156,12 @@
                 "left",
                 "still");
         line(out, "all", viewers.all());
-        Map<String, Viewers.Group> classes = viewers.byClass();
+        Map<String, ViewerOutcomes.Group> classes = viewers.byClass();
         if (classes.size() > 1) {
             classes.forEach((cls, group) -> line(out, cls, group));
         }
         StringBuilder causes = new StringBuilder();
-        EarlyEnds.counts(ends).forEach((cause, count) -> {
+        EarlyEnds.countByCause(ends).forEach((cause, count) -> {
             if (count > 0) {
                 causes.append(causes.length() == 0 ? " " : ", ")
                         .append(cause.name().toLowerCase(Locale.ROOT).replace('_', ' '))
@@ -168,7 +172,7 @@
         out.println("  sessions ended early:" + (causes.length() == 0 ? " none" : causes.toString()));
     }
 
-    private static void line(PrintWriter out, String name, Viewers.Group group) {
+    private static void line(PrintWriter out, String name, ViewerOutcomes.Group group) {
         out.printf(
                 Locale.ROOT,
                 "    %-12s %7d %7d %8d %6d %6d   %s%n",
--- a/cli/src/main/java/spanrill/cli/MeasureBench.java
+++ b/cli/src/main/java/spanrill/cli/MeasureBench.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import spanrill.check.Tap;
+import spanrill.check.EventRecorder;
 import spanrill.day.Day;
 import spanrill.standin.box.PumpBox;
 import spanrill.standin.registry.Entry;
@@ -34,7 +34,7 @@
     final Issuer issuer;
     final FrontProcesses fronts;
     private final MultiThreadIoEventLoopGroup boxLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final Tap tap = new Tap(null);
+    private final EventRecorder tap = new EventRecorder(null);
 
     /** Starts all; {@code limits} are those of the front's settings. */
     MeasureBench(Map<String, Number> limits) throws IOException, InterruptedException, JOSEException {
--- a/cli/src/main/java/spanrill/cli/PlotCommand.java
+++ b/cli/src/main/java/spanrill/cli/PlotCommand.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
+import spanrill.results.Charts;
 import spanrill.results.CountRow;
 import spanrill.results.EndRow;
-import spanrill.results.Pictures;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 import spanrill.results.ViewerRow;
 
@@ -37,15 +37,15 @@
 
     /** Draws all pictures of a run's folder. */
     static void draw(Path folder) throws IOException {
-        Pictures.write(
+        Charts.writeRunCharts(
                 folder,
-                Rows.read(folder.resolve(Rehearsal.SECONDS), SecondRow.class),
-                Rows.read(folder.resolve(Rehearsal.COUNTS), CountRow.class));
+                ParquetRows.read(folder.resolve(Rehearsal.SECONDS), SecondRow.class),
+                ParquetRows.read(folder.resolve(Rehearsal.COUNTS), CountRow.class));
         if (Files.exists(folder.resolve(Rehearsal.VIEWERS))) {
-            Pictures.viewers(
+            Charts.writeViewerCharts(
                     folder,
-                    Rows.read(folder.resolve(Rehearsal.VIEWERS), ViewerRow.class),
-                    Rows.read(folder.resolve(Rehearsal.ENDS), EndRow.class));
+                    ParquetRows.read(folder.resolve(Rehearsal.VIEWERS), ViewerRow.class),
+                    ParquetRows.read(folder.resolve(Rehearsal.ENDS), EndRow.class));
         }
     }
 }
--- a/cli/src/main/java/spanrill/cli/Recorder.java
+++ b/cli/src/main/java/spanrill/cli/Recorder.java
@@ -2,18 +2,18 @@
 
 import java.util.function.LongSupplier;
 import spanrill.results.CountRow;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.standin.viewer.CrowdStats;
 
 /** Writes down each second what a crowd met with in it. */
 final class Recorder {
     private final CrowdStats stats;
     private final LongSupplier playing;
-    private final Rows<CountRow> rows;
+    private final ParquetRows<CountRow> rows;
     private long[] before = new long[6];
     private int second;
 
-    Recorder(CrowdStats stats, LongSupplier playing, Rows<CountRow> rows) {
+    Recorder(CrowdStats stats, LongSupplier playing, ParquetRows<CountRow> rows) {
         this.stats = stats;
         this.playing = playing;
         this.rows = rows;
--- a/cli/src/main/java/spanrill/cli/Rehearsal.java
+++ b/cli/src/main/java/spanrill/cli/Rehearsal.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.TraceEvent;
 import spanrill.day.Day;
 import spanrill.day.Plan;
 import spanrill.emulator.Emulator;
 import spanrill.model.hall.HallWatch;
 import spanrill.results.CountRow;
 import spanrill.results.EndRow;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 import spanrill.results.ViewerRow;
 import spanrill.standin.box.BoxFleet;
@@ -68,9 +68,9 @@
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("boxes", true), NioIoHandler.newFactory());
         MultiThreadIoEventLoopGroup playerLoops = new MultiThreadIoEventLoopGroup(
                 PLAYER_LOOPS, new DefaultThreadFactory("players", true), NioIoHandler.newFactory());
-        try (Tap tap = new Tap(taps);
+        try (EventRecorder tap = new EventRecorder(taps);
                 RunRows rows = new RunRows(results)) {
-            tap.put(Emulator.facts(day));
+            tap.record(Emulator.facts(day));
             EventLoop loop = boxLoops.next();
             Receipts receipts = new Receipts();
             BoxFleet fleet = new BoxFleet(day, seed, loop, tap, receipts, rows.seconds);
@@ -102,13 +102,13 @@
                         plan.arrivals(),
                         playerLoops);
                 Director director = new Director(day, plan.effects(), fleet, registry, fronts, watch, loop, this::say);
-                double began = tap.now();
+                double began = tap.nowMs();
                 play(loop, crowd, director, fronts, fleet, rows);
                 fronts.sampleCpu();
                 Resources resources = Resources.take(loop.submit(fleet::modelMs).get());
                 long frontsKb = fronts.residentKb();
                 // Judged before the fronts are stopped: sessions that end with the day did not end early.
-                List<TapEvent> records = tap.events();
+                List<TraceEvent> records = tap.events();
                 fronts.stopAll();
                 long spends = loop.submit(() -> fleet.boxes().stream()
                                 .mapToLong(StandinBox::spends)
@@ -143,35 +143,35 @@
     /** The row files of a run; without a folder there are none. */
     private static final class RunRows implements AutoCloseable {
         private final Path folder;
-        private final Rows<SecondRow> seconds;
-        private final Rows<CountRow> counts;
+        private final ParquetRows<SecondRow> seconds;
+        private final ParquetRows<CountRow> counts;
 
         RunRows(Path folder) throws IOException {
             this.folder = folder;
             if (folder != null) {
                 Files.createDirectories(folder);
             }
-            seconds = folder == null ? null : new Rows<>(folder.resolve(SECONDS), SecondRow.class);
-            counts = folder == null ? null : new Rows<>(folder.resolve(COUNTS), CountRow.class);
+            seconds = folder == null ? null : new ParquetRows<>(folder.resolve(SECONDS), SecondRow.class);
+            counts = folder == null ? null : new ParquetRows<>(folder.resolve(COUNTS), CountRow.class);
         }
 
         void viewers(Judgement judged, double began) throws IOException {
             if (folder != null) {
-                try (Rows<ViewerRow> viewers = new Rows<>(folder.resolve(VIEWERS), ViewerRow.class);
-                        Rows<EndRow> ends = new Rows<>(folder.resolve(ENDS), EndRow.class)) {
+                try (ParquetRows<ViewerRow> viewers = new ParquetRows<>(folder.resolve(VIEWERS), ViewerRow.class);
+                        ParquetRows<EndRow> ends = new ParquetRows<>(folder.resolve(ENDS), EndRow.class)) {
                     judged.viewers()
-                            .each()
+                            .viewers()
                             .forEach(v -> viewers.add(new ViewerRow(
                                     v.name(),
-                                    v.cls(),
-                                    v.cameAt() - began,
+                                    v.serviceClass(),
+                                    v.arrivedMs() - began,
                                     v.played() ? v.waitMs() : -1,
-                                    v.asks(),
-                                    v.went() == null ? "" : v.went())));
+                                    v.requests(),
+                                    v.departureReason() == null ? "" : v.departureReason())));
                     judged.ends()
                             .forEach(end -> ends.add(new EndRow(
                                     (int) Math.max(0, Math.ceil((end.t() - began) / 1000)),
-                                    end.cls(),
+                                    end.serviceClass(),
                                     end.cause().name().toLowerCase(Locale.ROOT).replace('_', ' '))));
                 }
             }
@@ -254,7 +254,7 @@
         progress.flush();
     }
 
-    private StandinRegistry registry(EventLoop loop, Tap tap, BoxFleet fleet) {
+    private StandinRegistry registry(EventLoop loop, EventRecorder tap, BoxFleet fleet) {
         StandinRegistry registry = new StandinRegistry(loop, tap, seed);
         registry.catalogue(day, seed);
         registry.begin(fleet.entries());
--- a/cli/src/main/java/spanrill/cli/Report.java
+++ b/cli/src/main/java/spanrill/cli/Report.java
@@ -52,9 +52,9 @@
             ObjectNode rule = rules.addObject()
                     .put("rule", verdict.rule())
                     .put("name", verdict.name())
-                    .put("held", verdict.held())
-                    .put("judged", verdict.judgedCount())
-                    .put("broken", verdict.brokenCount());
+                    .put("held", verdict.passed())
+                    .put("judged", verdict.checkCount())
+                    .put("broken", verdict.violationCount());
             verdict.violations().forEach(rule.putArray("violations")::add);
         }
         return rules;
@@ -142,9 +142,9 @@
                     "  rule %d  %-36s %-6s  judged %d, broken %d%n",
                     verdict.rule(),
                     verdict.name(),
-                    verdict.held() ? "held" : "BROKEN",
-                    verdict.judgedCount(),
-                    verdict.brokenCount());
+                    verdict.passed() ? "held" : "BROKEN",
+                    verdict.checkCount(),
+                    verdict.violationCount());
             verdict.violations().stream().limit(5).forEach(text -> out.println("          " + text));
         }
     }
--- a/cli/src/main/java/spanrill/cli/SharesCommand.java
+++ b/cli/src/main/java/spanrill/cli/SharesCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 import spanrill.results.ShareCheck;
 
@@ -34,24 +34,24 @@
     public Integer call() throws Exception {
         List<SecondRow> rows;
         try {
-            rows = Rows.read(file, SecondRow.class);
+            rows = ParquetRows.read(file, SecondRow.class);
         } catch (IOException e) {
             throw new BadInput(e.getMessage());
         }
-        ShareCheck.Result result = ShareCheck.of(rows);
+        ShareCheck.Result result = ShareCheck.check(rows);
         PrintWriter out = spec.commandLine().getOut();
         out.printf(Locale.ROOT, "%d session-seconds%n", rows.size());
-        print(out, "received against the rule, recomputed", result.rule());
-        print(out, "received against the model's account", result.account());
-        print(out, "the model's account against the rule", result.model());
+        print(out, "received against the rule, recomputed", result.receivedVsRule());
+        print(out, "received against the model's account", result.receivedVsModel());
+        print(out, "the model's account against the rule", result.modelVsRule());
         out.println(
-                result.held()
+                result.passed()
                         ? "held"
-                        : result.rule().count() == 0
+                        : result.receivedVsRule().count() == 0
                                 ? "NOT HELD: no link was overloaded, nothing was measured"
                                 : "NOT HELD");
         out.flush();
-        return result.held() ? Exit.HELD : Exit.RULE_BROKEN;
+        return result.passed() ? Exit.HELD : Exit.RULE_BROKEN;
     }
 
     static void print(PrintWriter out, String what, ShareCheck.Errors errors) {
--- a/cli/src/main/java/spanrill/cli/StandinCommand.java
+++ b/cli/src/main/java/spanrill/cli/StandinCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import spanrill.check.Tap;
+import spanrill.check.EventRecorder;
 import spanrill.day.Day;
 import spanrill.settings.Settings;
 import spanrill.standin.box.BoxFleet;
@@ -78,7 +78,7 @@
         @Override
         public Integer call() throws Exception {
             Day day = Settings.read(file, Day.class);
-            BoxFleet fleet = new BoxFleet(day, day.seed(), loop(), new Tap(null), new Receipts(), null);
+            BoxFleet fleet = new BoxFleet(day, day.seed(), loop(), new EventRecorder(null), new Receipts(), null);
             fleet.open();
             List<Entry> entries = fleet.entries();
             Files.writeString(
@@ -103,7 +103,7 @@
         @Override
         public Integer call() throws Exception {
             Day day = Settings.read(file, Day.class);
-            StandinRegistry registry = new StandinRegistry(loop(), new Tap(null), day.seed());
+            StandinRegistry registry = new StandinRegistry(loop(), new EventRecorder(null), day.seed());
             registry.catalogue(day, day.seed());
             try {
                 registry.begin(
--- a/cli/src/main/java/spanrill/cli/TicketsCommand.java
+++ b/cli/src/main/java/spanrill/cli/TicketsCommand.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import spanrill.check.Tap;
-import spanrill.check.Tickets;
+import spanrill.check.EventRecorder;
+import spanrill.check.TokenUsage;
 
 /** Counts answers and tickets of a run. */
 @Command(
@@ -30,9 +30,9 @@
 
     @Override
     public Integer call() throws Exception {
-        Tickets tickets;
+        TokenUsage tickets;
         try {
-            tickets = Tickets.of(Tap.read(Files.isDirectory(taps) ? taps.resolve("tap.jsonl") : taps));
+            tickets = TokenUsage.of(EventRecorder.read(Files.isDirectory(taps) ? taps.resolve("tap.jsonl") : taps));
         } catch (IOException e) {
             throw new BadInput(e.getMessage());
         }
@@ -43,20 +43,21 @@
                 tickets.requests(),
                 tickets.excused(),
                 tickets.tokens());
+        out.printf(
+                Locale.ROOT, "answers to a request: least %d, most %d%n", tickets.minAnswers(), tickets.maxAnswers());
         out.printf(
                 Locale.ROOT,
-                "answers to a request: least %d, most %d%n",
-                tickets.leastAnswers(),
-                tickets.mostAnswers());
-        out.printf(Locale.ROOT, "paid tokens spent %d, most spends of one %d%n", tickets.spent(), tickets.mostSpends());
+                "paid tokens spent %d, most spends of one %d%n",
+                tickets.spentTokens(),
+                tickets.maxSpends());
         out.printf(
                 Locale.ROOT,
                 "duplicates joined %d; failed: nothing ran %d, it ran %d%n",
                 tickets.joined(),
-                tickets.failedUnknown(),
-                tickets.failedRan());
-        out.println(tickets.held() ? "held" : "NOT HELD");
+                tickets.failedWithoutRun(),
+                tickets.failedAfterRun());
+        out.println(tickets.passed() ? "held" : "NOT HELD");
         out.flush();
-        return tickets.held() ? Exit.HELD : Exit.RULE_BROKEN;
+        return tickets.passed() ? Exit.HELD : Exit.RULE_BROKEN;
     }
 }
--- a/cli/src/main/java/spanrill/cli/VersionsCommand.java
+++ b/cli/src/main/java/spanrill/cli/VersionsCommand.java
@@ -23,7 +23,7 @@
 import picocli.CommandLine.Spec;
 import spanrill.day.Day;
 import spanrill.emulator.Emulator;
-import spanrill.results.Kendall;
+import spanrill.results.KendallTau;
 import spanrill.session.SessionCore;
 import spanrill.settings.Settings;
 
@@ -101,7 +101,7 @@
         if (both.size() < LEAST) {
             throw new BadInput("only " + both.size() + " of " + played.size() + " texts could be played");
         }
-        Kendall kendall = Kendall.of(
+        KendallTau kendall = KendallTau.of(
                 both.stream().mapToDouble(p -> p.version().bench()).toArray(),
                 both.stream().mapToDouble(Played::service).toArray(),
                 1);
--- a/cli/src/test/java/spanrill/cli/CommandsTest.java
+++ b/cli/src/test/java/spanrill/cli/CommandsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.TraceEvent;
 
 class CommandsTest {
     private static final Path DAYS = Path.of("..", "days");
@@ -77,9 +77,9 @@
     @Test
     void checkTellsHeldBrokenAndBad() throws Exception {
         Path file = folder.resolve("tap.jsonl");
-        TapEvent.Facts facts = new TapEvent.Facts(
+        TraceEvent.RunParameters facts = new TraceEvent.RunParameters(
                 0,
-                java.util.Map.of("free", new TapEvent.ClassFacts(false, 0, 0)),
+                java.util.Map.of("free", new TraceEvent.ClassParameters(false, 0, 0)),
                 20,
                 250,
                 0,
@@ -89,17 +89,17 @@
                 null,
                 null,
                 null);
-        try (Tap tap = new Tap(file)) {
-            tap.put(facts);
-            tap.put(new TapEvent.Ask(1, 1, 0, "t", "free", "title", 100));
-            tap.put(new TapEvent.Answer(5, 1, 503, "refused"));
+        try (EventRecorder tap = new EventRecorder(file)) {
+            tap.record(facts);
+            tap.record(new TraceEvent.Request(1, 1, 0, "t", "free", "title", 100));
+            tap.record(new TraceEvent.Answer(5, 1, 503, "refused"));
         }
         assertEquals(0, run("check", folder));
         assertTrue(out.toString().contains("rule 6"));
-        try (Tap tap = new Tap(file)) {
-            tap.put(facts);
-            tap.put(new TapEvent.Ask(1, 1, 0, "t", "free", "title", 100));
-            tap.put(new TapEvent.Answer(500, 1, 503, "refused"));
+        try (EventRecorder tap = new EventRecorder(file)) {
+            tap.record(facts);
+            tap.record(new TraceEvent.Request(1, 1, 0, "t", "free", "title", 100));
+            tap.record(new TraceEvent.Answer(500, 1, 503, "refused"));
         }
         assertEquals(3, run("check", "--json", file));
         assertTrue(out.toString().contains("\"held\" : false"));
--- a/cli/src/test/java/spanrill/cli/RehearseTest.java
+++ b/cli/src/test/java/spanrill/cli/RehearseTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.TraceEvent;
 import spanrill.day.Day;
 import spanrill.day.FleetPlan;
 import spanrill.model.trouble.Effect;
 import spanrill.results.CountRow;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 
 /** A short day with a real front process: the whole path, with troubles, held to the rules. */
 @Timeout(120)
@@ -71,7 +71,7 @@
         assertTrue(Files.size(folder.resolve("rows").resolve("waits.png")) > 0);
         String page = Files.readString(folder.resolve("rows").resolve("index.html"));
         assertTrue(page.contains("waits.png") && page.contains("exactly one answer in time"), page);
-        assertTrue(Rows.read(folder.resolve("rows").resolve("counts.parquet"), CountRow.class)
+        assertTrue(ParquetRows.read(folder.resolve("rows").resolve("counts.parquet"), CountRow.class)
                         .size()
                 >= 6);
         assertEquals(
@@ -94,16 +94,16 @@
         Path file = folder.resolve("day.jsonnet");
         Files.writeString(file, DAY);
         Day day = spanrill.settings.Settings.read(file, Day.class);
-        List<TapEvent> events = List.of(
-                new TapEvent.Ask(10, 1, 1, "t1.1", "highlight", "title-0", 3000),
-                new TapEvent.Ask(10, 2, 1, "t2.1", "highlight", "title-0", 3000),
-                new TapEvent.Ask(10, 3, 1, "t3.1", "highlight", "title-0", 3000),
-                new TapEvent.Ask(1100, 4, 1, "t1.1", "highlight", "title-0", 3000),
-                new TapEvent.Ask(1100, 5, 1, "t2.2", "highlight", "title-0", 3000),
-                new TapEvent.Ask(1100, 6, 1, "t9.1", "highlight", "title-0", 3000),
-                new TapEvent.Ask(1100, 7, 0, "t3.2", "highlight", "title-0", 3000),
-                new TapEvent.Answer(1150, 4, 200, "plays"),
-                new TapEvent.Answer(1400, 5, 503, "refused"));
+        List<TraceEvent> events = List.of(
+                new TraceEvent.Request(10, 1, 1, "t1.1", "highlight", "title-0", 3000),
+                new TraceEvent.Request(10, 2, 1, "t2.1", "highlight", "title-0", 3000),
+                new TraceEvent.Request(10, 3, 1, "t3.1", "highlight", "title-0", 3000),
+                new TraceEvent.Request(1100, 4, 1, "t1.1", "highlight", "title-0", 3000),
+                new TraceEvent.Request(1100, 5, 1, "t2.2", "highlight", "title-0", 3000),
+                new TraceEvent.Request(1100, 6, 1, "t9.1", "highlight", "title-0", 3000),
+                new TraceEvent.Request(1100, 7, 0, "t3.2", "highlight", "title-0", 3000),
+                new TraceEvent.Answer(1150, 4, 200, "plays"),
+                new TraceEvent.Answer(1400, 5, 503, "refused"));
         assertEquals(
                 List.of(new HealedHall("east-hall", 3, 400, 1, 1, 1)),
                 HealedHall.of(
@@ -196,8 +196,8 @@
         CommandLineOutput shown = run("model", "show", day.toString());
         assertEquals(Exit.HELD, shown.code(), shown.text());
         assertTrue(shown.text().contains("balancer_crash") && shown.text().contains("is wanted most"), shown.text());
-        try (Tap tap = new Tap(folder.resolve("tap.jsonl"))) {
-            tap.put(new TapEvent.FrontUp(1, 0));
+        try (EventRecorder tap = new EventRecorder(folder.resolve("tap.jsonl"))) {
+            tap.record(new TraceEvent.FrontStarted(1, 0));
         }
         assertEquals(Exit.RULE_BROKEN, run("tickets", folder.toString()).code(), "nothing was shown");
     }
--- a/cli/src/test/java/spanrill/path/PathBench.java
+++ b/cli/src/test/java/spanrill/path/PathBench.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import spanrill.check.Tap;
+import spanrill.check.EventRecorder;
 import spanrill.front.FrontDaemon;
 import spanrill.front.FrontSettings;
 import spanrill.standin.registry.Entry;
@@ -25,7 +25,7 @@
  */
 final class PathBench implements AutoCloseable {
     final List<ScriptedBox> boxes = new ArrayList<>();
-    final Tap tap;
+    final EventRecorder tap;
     final Issuer issuer;
     final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -38,7 +38,7 @@
 
     PathBench(Path folder, int count) throws Exception {
         this.folder = folder;
-        tap = new Tap(null);
+        tap = new EventRecorder(null);
         registry = new StandinRegistry(group.next(), tap, 1);
         registry.title("title", 0, count, 600_000, List.of(2000L), 0);
         registry.title("spoken", 0, count, 7000, List.of(2000L, 1900L), 24);
--- a/emulator/src/main/java/spanrill/emulator/Box.java
+++ b/emulator/src/main/java/spanrill/emulator/Box.java
@@ -11,7 +11,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import spanrill.SessionControl.Load;
 import spanrill.SessionControl.NoteKind;
-import spanrill.check.TapEvent;
+import spanrill.check.TraceEvent;
 import spanrill.day.Day;
 import spanrill.day.FleetPlan;
 import spanrill.decisions.SessionEnd;
@@ -168,7 +168,7 @@
         startedAt = cold ? world.now() : Double.NEGATIVE_INFINITY;
         life = new BoxProcess(rules, startedAt, random);
         mute = false;
-        world.tap().put(new TapEvent.BoxStart(world.now(), plan.id(), cold));
+        world.tap().record(new TraceEvent.BoxStarted(world.now(), plan.id(), cold));
     }
 
     void die(String why) {
@@ -176,7 +176,7 @@
             return;
         }
         double now = world.now();
-        world.tap().put(new TapEvent.BoxDown(now, plan.id(), why));
+        world.tap().record(new TraceEvent.BoxStopped(now, plan.id(), why));
         life = null;
         sessions.values().forEach(session -> network.leave(now, session.flow));
         sessions.clear();
@@ -211,7 +211,7 @@
 
     void mute(boolean on) {
         mute = on;
-        world.tap().put(new TapEvent.BoxMute(world.now(), plan.id(), on, null));
+        world.tap().record(new TraceEvent.BoxMuted(world.now(), plan.id(), on, null));
         unpark(on);
     }
 
@@ -225,7 +225,7 @@
             cut.remove(from);
         }
         world.tap()
-                .put(new TapEvent.BoxMute(
+                .record(new TraceEvent.BoxMuted(
                         world.now(), plan.id(), on, world.day().zones().get(from)));
         unpark(on);
     }
@@ -274,7 +274,7 @@
         String key = order.key();
         String cls = order.request().className();
         world.tap()
-                .put(new TapEvent.SetUp(
+                .record(new TraceEvent.SetUp(
                         now,
                         plan.id(),
                         front.number(),
@@ -297,7 +297,7 @@
             wire.onClosed = () -> {
                 wires.remove(wire);
                 if (life == own) {
-                    world.tap().put(new TapEvent.End(world.now(), key, "called off"));
+                    world.tap().record(new TraceEvent.AttemptEnded(world.now(), key, "called off"));
                     own.connectionLost(key);
                 }
             };
@@ -324,12 +324,12 @@
                 order, front, life, type, network.join(now, plan.cell(), rate(order.rung(), type.scale())), now);
         sessions.put(order.key(), session);
         spends += order.spends() ? 1 : 0;
-        world.tap().put(new TapEvent.Ran(now, order.key()));
+        world.tap().record(new TraceEvent.AttemptStarted(now, order.key()));
         if (random.nextDouble() < answersLost) {
             reply.lost();
             return;
         }
-        world.tap().put(new TapEvent.SetUpAnswer(now, order.key(), 200, null));
+        world.tap().record(new TraceEvent.SetUpAnswer(now, order.key(), 200, null));
         reply.plays();
         tell(session, NoteKind.LINK_USE, Math.min(MOST_USE, network.linkUse(plan.cell())), 0);
         tell(session, NoteKind.UPLINK_USE, Math.min(MOST_USE, network.uplinkUse(plan.rack())), 0);
@@ -337,7 +337,7 @@
 
     private void answer(Wire wire, SetUpReply reply, String key, int status, String reason) {
         wires.remove(wire);
-        world.tap().put(new TapEvent.SetUpAnswer(world.now(), key, status, reason));
+        world.tap().record(new TraceEvent.SetUpAnswer(world.now(), key, status, reason));
         reply.status(status, reason, load());
     }
 
@@ -357,7 +357,7 @@
         heard(front.hall(), wire, () -> {
             boolean ran = life.callOff(key);
             end(key, "released");
-            world.tap().put(new TapEvent.CallOffAnswer(world.now(), key, ran));
+            world.tap().record(new TraceEvent.CancelAnswer(world.now(), key, ran));
             answer.accept(new CallOff(ran, world.now() - startedAt, load()));
         });
     }
@@ -371,7 +371,7 @@
                 }
                 session.rung = rung;
                 network.rate(world.now(), session.flow, rate(rung, session.scale));
-                world.tap().put(new TapEvent.Rung(world.now(), key, rung));
+                world.tap().record(new TraceEvent.RungChanged(world.now(), key, rung));
             }
         });
     }
@@ -395,7 +395,7 @@
         if (session != null) {
             network.leave(world.now(), session.flow);
         }
-        world.tap().put(new TapEvent.End(world.now(), key, why));
+        world.tap().record(new TraceEvent.AttemptEnded(world.now(), key, why));
     }
 
     /** Ends sessions that nobody asks for any more. */
--- a/emulator/src/main/java/spanrill/emulator/Emulator.java
+++ b/emulator/src/main/java/spanrill/emulator/Emulator.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import spanrill.Control;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.TraceEvent;
 import spanrill.day.Day;
 import spanrill.day.Plan;
 import spanrill.session.SessionCore;
@@ -21,7 +21,7 @@
      * @param beganAt start of the day on the records' clock, ms
      * @param events events of the agenda
      */
-    public record Run(List<TapEvent> records, Figures figures, Worth worth, double beganAt, long events) {}
+    public record Run(List<TraceEvent> records, Figures figures, Worth worth, double beganAt, long events) {}
 
     /**
      * How a day is played.
@@ -44,8 +44,8 @@
 
     /** Plays a day. */
     public static Run play(Day day, long seed, Options options) throws IOException {
-        try (Tap tap = new Tap(options.taps())) {
-            tap.put(facts(day));
+        try (EventRecorder tap = new EventRecorder(options.taps())) {
+            tap.record(facts(day));
             World world = new World(day, seed, tap, Costs.usual(), options.policy());
             world.play(new Plan(day, seed), options.lookMs(), options.bound());
             return new Run(tap.events(), world.figures(), world.worth().worth(), World.BEGIN_MS, world.events());
@@ -53,11 +53,12 @@
     }
 
     /** What the rules of a day are measured by: the first record of each of its runs. */
-    public static TapEvent.Facts facts(Day day) {
-        Map<String, TapEvent.ClassFacts> classes = new TreeMap<>();
-        day.classes().forEach((cls, c) -> classes.put(cls, new TapEvent.ClassFacts(c.once(), c.floor(), c.seats())));
+    public static TraceEvent.RunParameters facts(Day day) {
+        Map<String, TraceEvent.ClassParameters> classes = new TreeMap<>();
+        day.classes()
+                .forEach((cls, c) -> classes.put(cls, new TraceEvent.ClassParameters(c.once(), c.floor(), c.seats())));
         Day.Rules rules = day.rules();
-        return new TapEvent.Facts(
+        return new TraceEvent.RunParameters(
                 0,
                 classes,
                 day.boxes().places(),
--- a/emulator/src/main/java/spanrill/emulator/Front.java
+++ b/emulator/src/main/java/spanrill/emulator/Front.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import spanrill.check.TapEvent;
+import spanrill.check.TraceEvent;
 import spanrill.session.CoreSettings;
 import spanrill.session.EventSink;
 import spanrill.session.Scheduler;
@@ -95,7 +95,7 @@
                 core.restoreToken(token, kept.fate() == SpentTokenStore.TokenState.USED, kept.expiresAt());
             }
         });
-        world.tap().put(new TapEvent.FrontUp(now, number));
+        world.tap().record(new TraceEvent.FrontStarted(now, number));
         core.start(links);
         world.registry().frontStarts(this);
     }
@@ -105,7 +105,7 @@
         if (!up) {
             return;
         }
-        world.tap().put(new TapEvent.FrontDown(world.now(), number));
+        world.tap().record(new TraceEvent.FrontStopped(world.now(), number));
         life++;
         up = false;
         stalled = false;
@@ -136,10 +136,10 @@
     /** The day is over: a stall at hand is told. */
     void dayOver() {
         if (up && stalled) {
-            world.tap().put(new TapEvent.FrontStall(stalledAt, number, world.now() - stalledAt));
+            world.tap().record(new TraceEvent.FrontStalled(stalledAt, number, world.now() - stalledAt));
         }
         if (up) {
-            world.tap().put(new TapEvent.FrontDown(world.now(), number));
+            world.tap().record(new TraceEvent.FrontStopped(world.now(), number));
         }
     }
 
@@ -152,7 +152,7 @@
             stalledAt = world.now();
             return;
         }
-        world.tap().put(new TapEvent.FrontStall(stalledAt, number, world.now() - stalledAt));
+        world.tap().record(new TraceEvent.FrontStalled(stalledAt, number, world.now() - stalledAt));
         while (!stalled && !waiting.isEmpty()) {
             waiting.poll().run();
         }
--- a/emulator/src/main/java/spanrill/emulator/Registry.java
+++ b/emulator/src/main/java/spanrill/emulator/Registry.java
@@ -8,7 +8,7 @@
 import spanrill.SessionControl.ListKind;
 import spanrill.SessionControl.Server;
 import spanrill.SessionControl.ServerState;
-import spanrill.check.TapEvent;
+import spanrill.check.TraceEvent;
 import spanrill.model.Draws;
 import spanrill.session.Title;
 
@@ -82,7 +82,7 @@
         view.polls = false;
         for (Server server : servers) {
             world.tap()
-                    .put(new TapEvent.Told(
+                    .record(new TraceEvent.BoxStateSent(
                             world.now(),
                             front.number(),
                             server.id(),
--- a/emulator/src/main/java/spanrill/emulator/Viewer.java
+++ b/emulator/src/main/java/spanrill/emulator/Viewer.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import spanrill.check.TapEvent;
+import spanrill.check.TraceEvent;
 import spanrill.day.Arrival;
 import spanrill.day.Day;
 import spanrill.decisions.SessionEnd;
@@ -66,7 +66,7 @@
     }
 
     void come() {
-        world.tap().put(new TapEvent.Came(now(), name, traits.cls()));
+        world.tap().record(new TraceEvent.ViewerArrived(now(), name, traits.cls()));
         world.worth().came(name, this);
         player = new Player(traits, now(), day.viewers().returnMs());
         newToken();
@@ -113,7 +113,7 @@
     }
 
     private void over(String why) {
-        world.tap().put(new TapEvent.Went(now(), name, why));
+        world.tap().record(new TraceEvent.ViewerDeparted(now(), name, why));
         world.worth().went(name);
         world.figures().playedMs += player.playedMs();
         world.figures().stalledMs += player.stalledMs();
@@ -159,7 +159,7 @@
         Call made = new Call(main, front, front.life(), way(), tokenId, now());
         made.number = world.figures().nextAsk();
         world.tap()
-                .put(new TapEvent.Ask(
+                .record(new TraceEvent.Request(
                         now(), made.number, front.number(), tokenId, traits.cls(), title, traits.patienceMs()));
         made.send();
         return made;
@@ -168,7 +168,7 @@
     private void noAnswer() {
         if (waiting) {
             waiting = false;
-            world.tap().put(new TapEvent.NoAnswer(now(), ask));
+            world.tap().record(new TraceEvent.RequestTimedOut(now(), ask));
             call.close();
             over("no answer");
         }
@@ -178,7 +178,7 @@
         if (waiting) {
             waiting = false;
             patience.cancel();
-            world.tap().put(new TapEvent.AskLost(now(), ask, true));
+            world.tap().record(new TraceEvent.RequestAborted(now(), ask, true));
             call.close();
             over("left");
         }
@@ -254,7 +254,7 @@
         private void lost() {
             if (!answered && !closed) {
                 closed = true;
-                world.tap().put(new TapEvent.AskLost(now(), number, false));
+                world.tap().record(new TraceEvent.RequestAborted(now(), number, false));
                 if (main && waiting) {
                     waiting = false;
                     patience.cancel();
@@ -270,7 +270,7 @@
                 if (closed) {
                     return;
                 }
-                world.tap().put(new TapEvent.Answer(now(), number, status, answer));
+                world.tap().record(new TraceEvent.Answer(now(), number, status, answer));
                 if (main && waiting) {
                     waiting = false;
                     patience.cancel();
@@ -378,7 +378,7 @@
     }
 
     private void tooSlow() {
-        world.tap().put(new TapEvent.Broke(now(), tokenId, front.number(), -1, null));
+        world.tap().record(new TraceEvent.SessionBroken(now(), tokenId, front.number(), -1, null));
         newToken();
         follow(player.gaveUp(now()), "too slow");
     }
@@ -386,7 +386,8 @@
     private void broken(int status, SessionEnd end) {
         download = null;
         world.tap()
-                .put(new TapEvent.Broke(now(), tokenId, front.number(), status, end == null ? null : end.wireName()));
+                .record(new TraceEvent.SessionBroken(
+                        now(), tokenId, front.number(), status, end == null ? null : end.wireName()));
         follow(player.lost(now(), true), "broken");
     }
 
@@ -454,7 +455,9 @@
                 if (traits.neverReads()) {
                     return;
                 }
-                world.tap().put(new TapEvent.Segment(now(), tokenId, front.number(), result.rung(), result.bytes(), 0));
+                world.tap()
+                        .record(new TraceEvent.SegmentReceived(
+                                now(), tokenId, front.number(), result.rung(), result.bytes(), 0));
                 world.figures().segments++;
                 world.figures().bytes += result.bytes();
                 world.figures().rungs += result.rung();
--- a/emulator/src/main/java/spanrill/emulator/World.java
+++ b/emulator/src/main/java/spanrill/emulator/World.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import spanrill.SessionControl.ServerState;
-import spanrill.check.Tap;
+import spanrill.check.EventRecorder;
 import spanrill.day.Day;
 import spanrill.day.FleetPlan;
 import spanrill.day.Plan;
@@ -26,7 +26,7 @@
     private final Day day;
     private final Costs costs;
     private final VirtualTimeScheduler agenda = new VirtualTimeScheduler();
-    private final Tap tap;
+    private final EventRecorder tap;
     private final Halls halls;
     private final HallWatch watch;
     private final LinkNetwork network = new LinkNetwork();
@@ -40,7 +40,7 @@
     private final Figures figures = new Figures();
     private WorthMeter worth;
 
-    World(Day day, long seed, Tap tap, Costs costs, SessionCore.ModuleFactory policy) {
+    World(Day day, long seed, EventRecorder tap, Costs costs, SessionCore.ModuleFactory policy) {
         this.day = day;
         this.tap = tap;
         this.costs = costs;
@@ -99,7 +99,7 @@
         return costs;
     }
 
-    Tap tap() {
+    EventRecorder tap() {
         return tap;
     }
 
--- a/emulator/src/test/java/spanrill/emulator/EmulatorTest.java
+++ b/emulator/src/test/java/spanrill/emulator/EmulatorTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import spanrill.Control;
 import spanrill.SessionControl;
-import spanrill.check.Checker;
 import spanrill.check.EarlyEnds;
-import spanrill.check.Tally;
-import spanrill.check.TapEvent;
+import spanrill.check.RequestTally;
+import spanrill.check.RuleChecker;
+import spanrill.check.TraceEvent;
 import spanrill.check.Verdict;
-import spanrill.check.Viewers;
+import spanrill.check.ViewerOutcomes;
 import spanrill.day.Day;
 import spanrill.model.trouble.Kind;
 import spanrill.settings.Settings;
@@ -63,11 +63,11 @@
     }
 
     private static void holds(Emulator.Run run) {
-        for (Verdict verdict : Checker.judge(run.records())) {
-            assertTrue(verdict.held(), verdict.name() + ": " + verdict.violations());
+        for (Verdict verdict : RuleChecker.evaluate(run.records())) {
+            assertTrue(verdict.passed(), verdict.name() + ": " + verdict.violations());
         }
-        assertTrue(Tally.of(run.records()).addsUp());
-        assertTrue(Viewers.of(run.records()).all().addsUp());
+        assertTrue(RequestTally.of(run.records()).isConsistent());
+        assertTrue(ViewerOutcomes.of(run.records()).all().isConsistent());
     }
 
     @ParameterizedTest
@@ -77,7 +77,7 @@
         for (long seed = 1; seed <= 3; seed++) {
             Emulator.Run run = Emulator.play(day, seed);
             holds(run);
-            Tally tally = Tally.of(run.records());
+            RequestTally tally = RequestTally.of(run.records());
             assertTrue(tally.requests() > 150 && tally.plays() > 60, tally.toString());
             assertTrue(run.figures().setUpMs(0.5) > 20, "set-ups take their time");
         }
@@ -104,8 +104,8 @@
                         + trouble(Kind.BALANCER_CRASH, 9000, 0.5)
                         + trouble(Kind.ZONE_CUT, 15000, 0.3)
                         + trouble(Kind.ANSWER_LOST, 20000, 0.5));
-        List<TapEvent> alone = Emulator.play(day, 7).records();
-        List<List<TapEvent>> together = IntStream.range(0, 6)
+        List<TraceEvent> alone = Emulator.play(day, 7).records();
+        List<List<TraceEvent>> together = IntStream.range(0, 6)
                 .parallel()
                 .mapToObj(i -> {
                     try {
@@ -144,12 +144,12 @@
         Day day = day(3, trouble(Kind.DEPLOY, 8000, 0.5));
         for (String policy : List.of("random", "fewest:top", "two-drawn:throughput", "hash:lowest")) {
             Emulator.Run run = Emulator.play(day, 3, new Emulator.Options(null, Policies.of(policy), 1000, false));
-            List<Integer> broken = Checker.judge(run.records()).stream()
-                    .filter(v -> !v.held())
+            List<Integer> broken = RuleChecker.evaluate(run.records()).stream()
+                    .filter(v -> !v.passed())
                     .map(Verdict::rule)
                     .toList();
             assertTrue(broken.isEmpty() || broken.equals(List.of(5)), policy + " broke " + broken);
-            assertTrue(Tally.of(run.records()).plays() > 60, policy);
+            assertTrue(RequestTally.of(run.records()).plays() > 60, policy);
         }
         assertThrows(IllegalArgumentException.class, () -> Policies.of("best"));
         assertThrows(IllegalArgumentException.class, () -> Policies.of("random:middle"));
@@ -164,8 +164,8 @@
                 3,
                 new Emulator.Options(
                         null, (settings, seed, actions) -> deaf(new Control(settings, seed, actions)), 1000, false));
-        List<Integer> broken = Checker.judge(run.records()).stream()
-                .filter(v -> !v.held())
+        List<Integer> broken = RuleChecker.evaluate(run.records()).stream()
+                .filter(v -> !v.passed())
                 .map(Verdict::rule)
                 .toList();
         assertTrue(broken.contains(4), broken.toString());
@@ -198,15 +198,15 @@
     @Test
     void whatIsDoneToADayShowsInIt() throws Exception {
         Emulator.Run calm = Emulator.play(day(3, ""), 3);
-        assertEquals(0, EarlyEnds.counts(EarlyEnds.of(calm.records())).get(EarlyEnds.Cause.BOX));
+        assertEquals(0, EarlyEnds.countByCause(EarlyEnds.find(calm.records())).get(EarlyEnds.Cause.BOX));
         Emulator.Run crashes = Emulator.play(day(3, trouble(Kind.CRASH, 12000, 0.5)), 3);
-        assertTrue(EarlyEnds.counts(EarlyEnds.of(crashes.records())).get(EarlyEnds.Cause.BOX) > 10);
+        assertTrue(EarlyEnds.countByCause(EarlyEnds.find(crashes.records())).get(EarlyEnds.Cause.BOX) > 10);
         Emulator.Run slow = Emulator.play(day(3, trouble(Kind.SLOW, 5000, 1) + trouble(Kind.SLOW, 10000, 1)), 3);
         assertTrue(slow.figures().setUpMs(0.9) > 2 * calm.figures().setUpMs(0.9));
         long lost = Stream.of(1, 2, 3)
                 .mapToLong(seed -> {
                     try {
-                        return Tally.of(Emulator.play(day(3, trouble(Kind.BALANCER_CRASH, 12000, 1)), seed)
+                        return RequestTally.of(Emulator.play(day(3, trouble(Kind.BALANCER_CRASH, 12000, 1)), seed)
                                         .records())
                                 .lostWithFront();
                     } catch (Exception e) {
@@ -230,7 +230,7 @@
                         .replace("leaves: 0.05", "leaves: 0"));
         Emulator.Run run = Emulator.play(Settings.read(file, Day.class), 3);
         holds(run);
-        Tally tally = Tally.of(run.records());
+        RequestTally tally = RequestTally.of(run.records());
         assertEquals(0, tally.refused() + tally.failed() + tally.unanswered(), tally.toString());
         assertEquals(0, run.figures().stalls());
         assertEquals(1, run.figures().delivered(), 1e-9);
--- a/results/src/main/java/spanrill/results/Pictures.java
+++ b/results/src/main/java/spanrill/results/Charts.java
@@ -15,14 +15,14 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** Draws what rows tell, as PNG files. */
-public final class Pictures {
+public final class Charts {
     private static final int WIDTH = 1000;
     private static final int HEIGHT = 420;
 
-    private Pictures() {}
+    private Charts() {}
 
     /** Draws all pictures into a folder. */
-    public static void write(Path folder, List<SecondRow> seconds, List<CountRow> counts) throws IOException {
+    public static void writeRunCharts(Path folder, List<SecondRow> seconds, List<CountRow> counts) throws IOException {
         System.setProperty("java.awt.headless", "true");
         offered(folder, seconds);
         shares(folder, seconds);
@@ -41,7 +41,7 @@
     }
 
     /** Draws how long viewers waited for their first play, and why sessions ended early. */
-    public static void viewers(Path folder, List<ViewerRow> viewers, List<EndRow> ends) throws IOException {
+    public static void writeViewerCharts(Path folder, List<ViewerRow> viewers, List<EndRow> ends) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart waits = chart("Viewers who play, by the time since they came", "share of the class's viewers");
         waits.getStyler().setYAxisMax(1.0);
@@ -105,7 +105,7 @@
         for (SecondRow row : rows) {
             double[] sum = racks.computeIfAbsent(row.rack(), k -> new TreeMap<>())
                     .computeIfAbsent(row.second(), k -> new double[2]);
-            sum[0] += row.share() * row.asked();
+            sum[0] += row.grantedShare() * row.asked();
             sum[1] += row.asked();
         }
         XYChart chart = chart("Share of their rates that sessions got, by rack", "share");
--- a/results/src/main/java/spanrill/results/Kendall.java
+++ b/results/src/main/java/spanrill/results/KendallTau.java
@@ -12,7 +12,7 @@
  * @param low lower end of the interval that holds 95% of the resampled figures
  * @param high upper end of it
  */
-public record Kendall(double tau, double low, double high) {
+public record KendallTau(double tau, double low, double high) {
     private static final int RESAMPLES = 2000;
 
     /**
@@ -20,7 +20,7 @@
      *
      * @throws IllegalArgumentException when the lists differ in length or have fewer than three figures
      */
-    public static Kendall of(double[] a, double[] b, long seed) {
+    public static KendallTau of(double[] a, double[] b, long seed) {
         if (a.length != b.length || a.length < 3) {
             throw new IllegalArgumentException("ranks need two lists of one length, of three or more");
         }
@@ -37,7 +37,8 @@
             resampled[i] = tau(x, y);
         }
         Arrays.sort(resampled);
-        return new Kendall(tau(a, b), resampled[(int) (RESAMPLES * 0.025)], resampled[(int) (RESAMPLES * 0.975) - 1]);
+        return new KendallTau(
+                tau(a, b), resampled[(int) (RESAMPLES * 0.025)], resampled[(int) (RESAMPLES * 0.975) - 1]);
     }
 
     private static double tau(double[] a, double[] b) {
--- a/results/src/main/java/spanrill/results/Rows.java
+++ b/results/src/main/java/spanrill/results/ParquetRows.java
@@ -16,7 +16,7 @@
  * disk. At
  * most {@value #WAITING} rows wait; those beyond are dropped and counted.
  */
-public final class Rows<T extends Record> implements AutoCloseable {
+public final class ParquetRows<T extends Record> implements AutoCloseable {
     /** Rows that may wait. */
     public static final int WAITING = 200_000;
 
@@ -27,7 +27,7 @@
     private volatile long dropped;
 
     /** Writes to a file. */
-    public Rows(Path file, Class<T> kind) {
+    public ParquetRows(Path file, Class<T> kind) {
         thread = new Thread(() -> write(file, kind), "rows-" + file.getFileName());
         thread.setDaemon(true);
         thread.start();
--- a/results/src/main/java/spanrill/results/SecondRow.java
+++ b/results/src/main/java/spanrill/results/SecondRow.java
@@ -39,7 +39,7 @@
         boolean cut,
         boolean steady) {
     /** Share of its rate that was granted. */
-    public double share() {
+    public double grantedShare() {
         return asked <= 0 || ms <= 0 ? 1 : granted / (asked * ms / 1000);
     }
 }
--- a/results/src/main/java/spanrill/results/ShareCheck.java
+++ b/results/src/main/java/spanrill/results/ShareCheck.java
@@ -35,18 +35,18 @@
     /**
      * What came of it.
      *
-     * @param rule received against the rule recomputed from rows, in steady seconds
-     * @param account received against the model's account, in all seconds
-     * @param model the model's account against the rule recomputed, in steady seconds
+     * @param receivedVsRule received against the rule recomputed from rows, in steady seconds
+     * @param receivedVsModel received against the model's account, in all seconds
+     * @param modelVsRule the model's account against the rule recomputed, in steady seconds
      */
-    public record Result(Errors rule, Errors account, Errors model) {
+    public record Result(Errors receivedVsRule, Errors receivedVsModel, Errors modelVsRule) {
         /** True when the medians are under 2% and the 95th percentiles under 5%, over something. */
-        public boolean held() {
-            return rule.count() > 0
-                    && rule.median() < 0.02
-                    && rule.p95() < 0.05
-                    && account.median() < 0.02
-                    && account.p95() < 0.05;
+        public boolean passed() {
+            return receivedVsRule.count() > 0
+                    && receivedVsRule.median() < 0.02
+                    && receivedVsRule.p95() < 0.05
+                    && receivedVsModel.median() < 0.02
+                    && receivedVsModel.p95() < 0.05;
         }
     }
 
@@ -55,7 +55,7 @@
     private ShareCheck() {}
 
     /** Judges rows. */
-    public static Result of(List<SecondRow> rows) {
+    public static Result check(List<SecondRow> rows) {
         Map<At, Long> asked = new HashMap<>();
         Map<At, Long> gives = new HashMap<>();
         Map<At, Set<Integer>> boxes = new HashMap<>();
@@ -79,7 +79,7 @@
         List<Double> account = new ArrayList<>();
         List<Double> model = new ArrayList<>();
         for (SecondRow row : rows) {
-            if (!row.busy() || !row.cut() || row.share() >= OVERLOADED || row.granted() < 1) {
+            if (!row.busy() || !row.cut() || row.grantedShare() >= OVERLOADED || row.granted() < 1) {
                 continue;
             }
             account.add(row.received() / row.granted() - 1);
--- a/results/src/test/java/spanrill/results/ResultsTest.java
+++ b/results/src/test/java/spanrill/results/ResultsTest.java
@@ -64,17 +64,17 @@
 
     @Test
     void sharesThatFollowTheRuleAreHeld() {
-        ShareCheck.Result result = ShareCheck.of(rows(1));
-        assertEquals(250, result.rule().count());
-        assertTrue(result.held(), result.toString());
-        assertEquals(0, result.model().p95(), 1e-9);
+        ShareCheck.Result result = ShareCheck.check(rows(1));
+        assertEquals(250, result.receivedVsRule().count());
+        assertTrue(result.passed(), result.toString());
+        assertEquals(0, result.modelVsRule().p95(), 1e-9);
     }
 
     @Test
     void aBoxThatGivesTooMuchOrTooLittleIsCaught() {
-        assertFalse(ShareCheck.of(rows(1.04)).held());
-        assertFalse(ShareCheck.of(rows(0.96)).held());
-        assertEquals(-0.04, ShareCheck.of(rows(0.96)).rule().mean(), 0.002);
+        assertFalse(ShareCheck.check(rows(1.04)).passed());
+        assertFalse(ShareCheck.check(rows(0.96)).passed());
+        assertEquals(-0.04, ShareCheck.check(rows(0.96)).receivedVsRule().mean(), 0.002);
     }
 
     @Test
@@ -100,26 +100,26 @@
                     true,
                     true));
         }
-        assertFalse(ShareCheck.of(other).held());
+        assertFalse(ShareCheck.check(other).passed());
     }
 
     @Test
     void withoutAnOverloadedLinkNothingIsShown() {
-        assertFalse(ShareCheck.of(List.of(
+        assertFalse(ShareCheck.check(List.of(
                         new SecondRow(1, "a", "free", 0, 0, 0, 0, 100, 1000, 1000, 100, 100, 1000, true, true, true)))
-                .held());
+                .passed());
     }
 
     @Test
     void rowsAreWrittenAndReadBackAndDrawn() throws IOException {
         Path file = folder.resolve("seconds.parquet");
         List<SecondRow> rows = rows(1);
-        try (Rows<SecondRow> out = new Rows<>(file, SecondRow.class)) {
+        try (ParquetRows<SecondRow> out = new ParquetRows<>(file, SecondRow.class)) {
             rows.forEach(out::add);
             assertEquals(0, out.dropped());
         }
-        assertEquals(rows, Rows.read(file, SecondRow.class));
-        Pictures.write(
+        assertEquals(rows, ParquetRows.read(file, SecondRow.class));
+        Charts.writeRunCharts(
                 folder, rows, List.of(new CountRow(1, 5, 4, 1, 0, 1, 4, 10), new CountRow(2, 5, 4, 1, 0, 1, 4, 0)));
         for (String name : List.of("offered", "shares", "rungs", "answers", "stalls")) {
             assertTrue(Files.size(folder.resolve(name + ".png")) > 5000, name);
@@ -129,11 +129,11 @@
     @Test
     void otherFilesAreTold() throws IOException {
         Path file = folder.resolve("x.parquet");
-        assertTrue(assertThrows(IOException.class, () -> Rows.read(file, SecondRow.class))
+        assertTrue(assertThrows(IOException.class, () -> ParquetRows.read(file, SecondRow.class))
                 .getMessage()
                 .contains("no such file"));
         Files.writeString(file, "nonsense");
-        assertTrue(assertThrows(IOException.class, () -> Rows.read(file, SecondRow.class))
+        assertTrue(assertThrows(IOException.class, () -> ParquetRows.read(file, SecondRow.class))
                 .getMessage()
                 .contains("is no Parquet file"));
     }
@@ -142,14 +142,15 @@
     void ranksThatAgreeDifferAndTie() {
         double[] up = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10};
         double[] down = {10, 9, 8, 7, 6, 5, 4, 3, 2, 1};
-        assertEquals(1, Kendall.of(up, up, 1).tau(), 1e-12);
-        assertEquals(-1, Kendall.of(up, down, 1).tau(), 1e-12);
+        assertEquals(1, KendallTau.of(up, up, 1).tau(), 1e-12);
+        assertEquals(-1, KendallTau.of(up, down, 1).tau(), 1e-12);
         // Five things with a tie, worked by hand: 8 pairs agree, 1 doesn't, 1 is tied in the second list.
-        Kendall tied = Kendall.of(new double[] {1, 2, 3, 4, 5}, new double[] {2, 1, 3, 3, 5}, 1);
+        KendallTau tied = KendallTau.of(new double[] {1, 2, 3, 4, 5}, new double[] {2, 1, 3, 3, 5}, 1);
         assertEquals(7 / Math.sqrt(10 * 9), tied.tau(), 1e-12);
         assertTrue(tied.low() <= tied.tau() && tied.tau() <= tied.high());
         assertEquals(
-                0, Kendall.of(new double[] {1, 1, 1}, new double[] {1, 2, 3}, 1).tau());
-        assertThrows(IllegalArgumentException.class, () -> Kendall.of(new double[] {1, 2}, new double[] {1, 2}, 1));
+                0,
+                KendallTau.of(new double[] {1, 1, 1}, new double[] {1, 2, 3}, 1).tau());
+        assertThrows(IllegalArgumentException.class, () -> KendallTau.of(new double[] {1, 2}, new double[] {1, 2}, 1));
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/BoxFleet.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxFleet.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import spanrill.check.Tap;
+import spanrill.check.EventRecorder;
 import spanrill.day.Day;
 import spanrill.day.FleetPlan;
 import spanrill.model.link.LinkNetwork;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 import spanrill.standin.registry.Entry;
 
@@ -23,7 +23,7 @@
     private final FlowLedger ledger;
     private final ModelTime modelTime = new ModelTime();
     private final EventLoop loop;
-    private final Tap tap;
+    private final EventRecorder tap;
     private final Day day;
     private final long[] linkBytes;
     private final long[] uplinkBytes;
@@ -37,7 +37,8 @@
      * @param receipts what viewers received
      * @param rows where seconds are written, or null
      */
-    public BoxFleet(Day day, long seed, EventLoop loop, Tap tap, Receipts receipts, Rows<SecondRow> rows) {
+    public BoxFleet(
+            Day day, long seed, EventLoop loop, EventRecorder tap, Receipts receipts, ParquetRows<SecondRow> rows) {
         this.loop = loop;
         this.tap = tap;
         this.day = day;
@@ -90,7 +91,7 @@
         long now = System.nanoTime();
         late.recordValue(Math.max(0, (now - dueNanos) / 1000));
         dueNanos += TICK_MS * 1_000_000;
-        double at = tap.now();
+        double at = tap.nowMs();
         if (++ticks % (SECOND_MS / TICK_MS) == 0) {
             // Before this tick's bytes go out: what the last tick wrote has arrived by now.
             ledger.second(at, boxes);
@@ -114,12 +115,12 @@
 
     /** A box's link gives this share. */
     public void link(int box, double share) {
-        network.give(tap.now(), box, Math.round(linkBytes[box] * share));
+        network.give(tap.nowMs(), box, Math.round(linkBytes[box] * share));
     }
 
     /** A rack's uplink gives this share. */
     public void uplink(int rack, double share) {
-        network.giveUplink(tap.now(), rack, Math.round(uplinkBytes[rack] * share));
+        network.giveUplink(tap.nowMs(), rack, Math.round(uplinkBytes[rack] * share));
     }
 
     /** Time that the loop spent in the model of links, ms; on the loop. */
--- a/standin/src/main/java/spanrill/standin/box/FlowLedger.java
+++ b/standin/src/main/java/spanrill/standin/box/FlowLedger.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import spanrill.model.link.LinkNetwork;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 
 /** Closes each second of each session: what it asked, was granted by the model, and its viewer received. */
@@ -12,12 +12,12 @@
 
     private final LinkNetwork network;
     private final Receipts receipts;
-    private final Rows<SecondRow> rows;
+    private final ParquetRows<SecondRow> rows;
     private long[] changesBefore = new long[0];
     private double at = Double.NaN;
     private int second;
 
-    FlowLedger(LinkNetwork network, Receipts receipts, Rows<SecondRow> rows) {
+    FlowLedger(LinkNetwork network, Receipts receipts, ParquetRows<SecondRow> rows) {
         this.network = network;
         this.receipts = receipts;
         this.rows = rows;
--- a/standin/src/main/java/spanrill/standin/box/StandinBox.java
+++ b/standin/src/main/java/spanrill/standin/box/StandinBox.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import spanrill.SessionControl.Load;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.TraceEvent;
 import spanrill.day.Day;
 import spanrill.model.Draws;
 import spanrill.model.box.BoxProcess;
@@ -39,7 +39,7 @@
     private final LinkNetwork network;
     private final Day day;
     private final EventLoop loop;
-    private final Tap tap;
+    private final EventRecorder tap;
     private final UniformRandomProvider random;
     private final Condition condition = new Condition();
     private final Map<String, BoxSession> sessions = new LinkedHashMap<>();
@@ -65,7 +65,7 @@
             LinkNetwork network,
             Day day,
             EventLoop loop,
-            Tap tap,
+            EventRecorder tap,
             long seed,
             ModelTime modelTime) {
         this.id = id;
@@ -154,7 +154,7 @@
     /** Starts its process, cold or long warm. On the loop; listens a moment later. */
     public void start(boolean cold) {
         process = System.currentTimeMillis();
-        startedAt = cold ? tap.now() : Double.NEGATIVE_INFINITY;
+        startedAt = cold ? tap.nowMs() : Double.NEGATIVE_INFINITY;
         life = new BoxProcess(rules, startedAt, random);
         condition.mute = false;
         long started = process;
@@ -168,7 +168,7 @@
             }
             server = ((io.netty.channel.ChannelFuture) future).channel();
             port = Net.port(server);
-            tap.put(new TapEvent.BoxStart(tap.now(), id, cold));
+            tap.record(new TraceEvent.BoxStarted(tap.nowMs(), id, cold));
         });
     }
 
@@ -177,7 +177,7 @@
         if (server == null) {
             return;
         }
-        tap.put(new TapEvent.BoxDown(tap.now(), id, why));
+        tap.record(new TraceEvent.BoxStopped(tap.nowMs(), id, why));
         server.close();
         server = null;
         for (Channel connection : connections) {
@@ -191,7 +191,7 @@
             connection.close();
         }
         connections.clear();
-        sessions.values().forEach(session -> shaper.leave(tap.now(), session));
+        sessions.values().forEach(session -> shaper.leave(tap.nowMs(), session));
         sessions.clear();
         shaper.clear();
         notes.clear();
@@ -206,7 +206,7 @@
     /** It goes silent, or comes back to life with what waits in its sockets. */
     public void mute(boolean on) {
         condition.mute = on;
-        tap.put(new TapEvent.BoxMute(tap.now(), id, on, null));
+        tap.record(new TraceEvent.BoxMuted(tap.nowMs(), id, on, null));
         if (!on) {
             unpark();
         }
@@ -218,7 +218,7 @@
             return;
         }
         condition.cut(from, on);
-        tap.put(new TapEvent.BoxMute(tap.now(), id, on, from));
+        tap.record(new TraceEvent.BoxMuted(tap.nowMs(), id, on, from));
         if (!on) {
             unpark();
         }
@@ -273,9 +273,9 @@
             exchange.respond(400, new Headers(), new byte[0]);
             return;
         }
-        double now = tap.now();
+        double now = tap.nowMs();
         boolean spend = "1".equals(h.get(BoxLink.SPENDS));
-        tap.put(new TapEvent.SetUp(
+        tap.record(new TraceEvent.SetUp(
                 now,
                 id,
                 front,
@@ -296,7 +296,7 @@
         } else if (reply instanceof BoxProcess.Reply.Works works) {
             BoxProcess own = life;
             exchange.onClosed(() -> {
-                tap.put(new TapEvent.End(tap.now(), key, "called off"));
+                tap.record(new TraceEvent.AttemptEnded(tap.nowMs(), key, "called off"));
                 own.connectionLost(key);
             });
             BoxSession session = new BoxSession(
@@ -325,19 +325,19 @@
         if (!life.begins(session.key)) {
             return;
         }
-        double now = tap.now();
+        double now = tap.nowMs();
         shaper.join(now, session);
         sessions.put(session.key, session);
         session.process = life;
         session.seenAt = now;
         spends += spend ? 1 : 0;
-        tap.put(new TapEvent.Ran(now, session.key));
+        tap.record(new TraceEvent.AttemptStarted(now, session.key));
         exchange.onClosed(() -> {});
         if (random.nextDouble() < condition.answerLost) {
             exchange.channel().close();
             return;
         }
-        tap.put(new TapEvent.SetUpAnswer(now, session.key, 200, null));
+        tap.record(new TraceEvent.SetUpAnswer(now, session.key, 200, null));
         Headers headers = Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load()), "content-type", "video/mp4");
         exchange.start(200, headers, Media.INIT_BYTES);
         exchange.write(Media.part(session.title, 0, Media.INIT_BYTES));
@@ -346,7 +346,7 @@
     }
 
     private void answer(Exchange exchange, String key, int status, String reason) {
-        tap.put(new TapEvent.SetUpAnswer(tap.now(), key, status, reason));
+        tap.record(new TraceEvent.SetUpAnswer(tap.nowMs(), key, status, reason));
         Headers headers = Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load()));
         if (reason != null) {
             headers.add(BoxLink.REASON, reason);
@@ -365,7 +365,7 @@
         if (method.equals("DELETE")) {
             boolean ran = life.callOff(key);
             end(key, "released");
-            tap.put(new TapEvent.CallOffAnswer(tap.now(), key, ran));
+            tap.record(new TraceEvent.CancelAnswer(tap.nowMs(), key, ran));
             exchange.respond(
                     204,
                     Headers.of(
@@ -393,11 +393,11 @@
                 exchange.respond(400, new Headers(), new byte[0]);
                 return;
             }
-            shaper.rung(tap.now(), session, Integer.parseInt(to));
-            tap.put(new TapEvent.Rung(tap.now(), key, session.rung));
+            shaper.rung(tap.nowMs(), session, Integer.parseInt(to));
+            tap.record(new TraceEvent.RungChanged(tap.nowMs(), key, session.rung));
             exchange.respond(204, Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load())), new byte[0]);
         } else {
-            session.seenAt = tap.now();
+            session.seenAt = tap.nowMs();
             shaper.segment(exchange, session, name);
         }
     }
@@ -405,9 +405,9 @@
     private void end(String key, String why) {
         BoxSession session = sessions.remove(key);
         if (session != null) {
-            shaper.leave(tap.now(), session);
+            shaper.leave(tap.nowMs(), session);
         }
-        tap.put(new TapEvent.End(tap.now(), key, why));
+        tap.record(new TraceEvent.AttemptEnded(tap.nowMs(), key, why));
     }
 
     /** Each second: the share delivered. */
--- a/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
+++ b/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.TraceEvent;
 import spanrill.day.Day;
 import spanrill.day.Plan;
 import spanrill.model.Draws;
@@ -40,7 +40,7 @@
 
     private final ObjectMapper json = new ObjectMapper();
     private final EventLoop loop;
-    private final Tap tap;
+    private final EventRecorder tap;
     private final long epoch = System.currentTimeMillis();
     private final UniformRandomProvider random;
     private final ArrayNode titles = json.createArrayNode();
@@ -49,7 +49,7 @@
     private Channel server;
 
     /** A registry; {@link #listen} opens it. */
-    public StandinRegistry(EventLoop loop, Tap tap, long seed) {
+    public StandinRegistry(EventLoop loop, EventRecorder tap, long seed) {
         this.loop = loop;
         this.tap = tap;
         random = Draws.of(seed, "registry");
@@ -191,7 +191,7 @@
                 .put("base", view.waitingVersion)
                 .put("version", view.log.size());
         ArrayNode list = document.putArray("boxes");
-        double now = tap.now();
+        double now = tap.nowMs();
         for (Entry box : boxes) {
             list.addObject()
                     .put("id", box.id())
@@ -203,7 +203,7 @@
                     .put("state", box.state())
                     .put("weight", box.weight())
                     .put("startedAt", box.startedAt());
-            tap.put(new TapEvent.Told(now, front, box.id(), box.state(), box.startedAt()));
+            tap.record(new TraceEvent.BoxStateSent(now, front, box.id(), box.state(), box.startedAt()));
         }
         if (whole) {
             document.set("titles", titles);
--- a/standin/src/main/java/spanrill/standin/viewer/Crowd.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Crowd.java
@@ -24,12 +24,12 @@
 
     /** The day begins now. */
     public void start() {
-        double begin = stage.tap().now();
+        double begin = stage.tap().nowMs();
         for (Arrival arrival : arrivals) {
             EventLoop loop = loops.next();
             loop.schedule(
                     () -> {
-                        double late = stage.tap().now() - begin - arrival.atMs();
+                        double late = stage.tap().nowMs() - begin - arrival.atMs();
                         stage.stats().late.recordValue((long) Math.max(0, late * 1000));
                         new Viewer(stage, arrival, loop).come();
                     },
--- a/standin/src/main/java/spanrill/standin/viewer/Stage.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Stage.java
@@ -1,6 +1,6 @@
 package spanrill.standin.viewer;
 
-import spanrill.check.Tap;
+import spanrill.check.EventRecorder;
 import spanrill.day.Day;
 import spanrill.model.hall.HallWatch;
 import spanrill.standin.box.Receipts;
@@ -15,7 +15,7 @@
         Day day,
         FrontDoor door,
         Issuer issuer,
-        Tap tap,
+        EventRecorder tap,
         Receipts receipts,
         CrowdStats stats,
         HallWatch halls,
--- a/standin/src/main/java/spanrill/standin/viewer/Viewer.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Viewer.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.LongAdder;
 import org.apache.commons.rng.UniformRandomProvider;
-import spanrill.check.TapEvent;
+import spanrill.check.TraceEvent;
 import spanrill.day.Arrival;
 import spanrill.model.Draws;
 import spanrill.model.player.Player;
@@ -63,7 +63,7 @@
     }
 
     private double now() {
-        return stage.tap().now();
+        return stage.tap().nowMs();
     }
 
     private ScheduledFuture<?> after(double ms, Runnable action) {
@@ -71,7 +71,7 @@
     }
 
     void come() {
-        stage.tap().put(new TapEvent.Came(now(), name(), traits.cls()));
+        stage.tap().record(new TraceEvent.ViewerArrived(now(), name(), traits.cls()));
         player = new Player(traits, now(), stage.day().viewers().returnMs());
         newToken();
         if (!waitsForHall()) {
@@ -122,7 +122,7 @@
     }
 
     private void over(String why) {
-        stage.tap().put(new TapEvent.Went(now(), name(), why));
+        stage.tap().record(new TraceEvent.ViewerDeparted(now(), name(), why));
         stats.playedMs.add(Math.round(player.playedMs()));
         stats.stalledMs.add(Math.round(player.stalledMs()));
         stats.stalls.add(player.stalls());
@@ -185,16 +185,19 @@
     /** Writes the request on a connection; the second of a doubled one only looks at its answer. */
     private long request(HttpClientConnection on, boolean first) {
         long number = ASKS.incrementAndGet();
-        stage.tap().put(new TapEvent.Ask(now(), number, front, tokenId, traits.cls(), title, traits.patienceMs()));
+        stage.tap()
+                .record(new TraceEvent.Request(
+                        now(), number, front, tokenId, traits.cls(), title, traits.patienceMs()));
         stats.asks.increment();
         // A second answer comes when nothing is asked any more: the checker must see that too.
-        on.onUnsolicitedData(() -> stage.tap().put(new TapEvent.Answer(now(), number, 0, "unasked")));
+        on.onUnsolicitedData(() -> stage.tap().record(new TraceEvent.Answer(now(), number, 0, "unasked")));
         double at = now();
         ClientLink[] link = new ClientLink[1];
         link[0] = new ClientLink(
                 true,
                 () -> stage.tap()
-                        .put(new TapEvent.Answer(now(), number, link[0].seen().status(), answerOf(link[0].seen()))),
+                        .record(new TraceEvent.Answer(
+                                now(), number, link[0].seen().status(), answerOf(link[0].seen()))),
                 (head, all) -> {
                     if (first) {
                         answered(head, all, at);
@@ -210,7 +213,7 @@
 
     private void second(HttpClientConnection on, long number, ResponseHead head) {
         if (head == null) {
-            stage.tap().put(new TapEvent.AskLost(now(), number, false));
+            stage.tap().record(new TraceEvent.RequestAborted(now(), number, false));
         } else {
             stats.count(answerOf(head));
         }
@@ -225,7 +228,7 @@
     private void noAnswer() {
         if (waiting) {
             waiting = false;
-            stage.tap().put(new TapEvent.NoAnswer(now(), ask));
+            stage.tap().record(new TraceEvent.RequestTimedOut(now(), ask));
             connection.abort();
             over("no answer");
         }
@@ -235,7 +238,7 @@
         if (waiting) {
             waiting = false;
             patience.cancel(false);
-            stage.tap().put(new TapEvent.AskLost(now(), ask, true));
+            stage.tap().record(new TraceEvent.RequestAborted(now(), ask, true));
             connection.abort();
             over("left");
         }
@@ -248,7 +251,7 @@
         waiting = false;
         patience.cancel(false);
         if (head == null) {
-            stage.tap().put(new TapEvent.AskLost(now(), ask, false));
+            stage.tap().record(new TraceEvent.RequestAborted(now(), ask, false));
             stats.lost.increment();
             // Whether something was spent isn't known: who has paid asks the issuer, not the next front.
             follow(player.lost(now(), !stage.day().classes().get(traits.cls()).once()), "front lost");
@@ -377,7 +380,7 @@
         String rung = head.headers().get("spanrill-rung");
         int served = rung != null && rung.matches("\\d{1,3}") ? Integer.parseInt(rung) : -1;
         double now = now();
-        stage.tap().put(new TapEvent.Segment(now, tokenId, front, served, bytes, 0));
+        stage.tap().record(new TraceEvent.SegmentReceived(now, tokenId, front, served, bytes, 0));
         stats.segments.increment();
         stats.bytes.add(bytes);
         stats.rungs.add(Math.max(0, served));
@@ -409,7 +412,7 @@
     }
 
     private void tooSlow() {
-        stage.tap().put(new TapEvent.Broke(now(), tokenId, front, -1, null));
+        stage.tap().record(new TraceEvent.SessionBroken(now(), tokenId, front, -1, null));
         newToken();
         follow(player.gaveUp(now()), "too slow");
     }
@@ -417,7 +420,7 @@
     /** The session ended before its time; the head tells it, or is null when the connection was lost. */
     private void broken(ResponseHead head) {
         stage.tap()
-                .put(new TapEvent.Broke(
+                .record(new TraceEvent.SessionBroken(
                         now(),
                         tokenId,
                         front,
--- a/standin/src/test/java/spanrill/standin/PlantedFaultsTest.java
+++ b/standin/src/test/java/spanrill/standin/PlantedFaultsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import spanrill.check.TapEvent;
+import spanrill.check.TraceEvent;
 import spanrill.standin.box.StandinBox;
 import spanrill.wire.box.BoxLink;
 import spanrill.wire.http.Headers;
@@ -77,7 +77,7 @@
     @Test
     void aDriverThatSendsToADrainedBox() throws Exception {
         front.on(() -> front.fleet.boxes().get(0).drain());
-        front.tap.put(new TapEvent.Told(front.tap.now() - 1000, 0, "box-0", "draining", 0));
+        front.tap.record(new TraceEvent.BoxStateSent(front.tap.nowMs() - 1000, 0, "box-0", "draining", 0));
         long ask = front.ask("t", "free");
         assertEquals(503, front.setUp(0, "t", 1, "free", 0));
         front.answer(ask, "refused");
@@ -94,7 +94,7 @@
         CompletableFuture<Void> up = new CompletableFuture<>();
         awaitUp(box, up);
         up.get(5, TimeUnit.SECONDS);
-        front.tap.put(new TapEvent.Told(front.tap.now(), 0, "box-0", "ready", 1));
+        front.tap.record(new TraceEvent.BoxStateSent(front.tap.nowMs(), 0, "box-0", "ready", 1));
         boolean fell = false;
         for (int i = 0; i < 14; i++) {
             long ask = front.ask("t" + i, "free");
--- a/standin/src/test/java/spanrill/standin/RogueFront.java
+++ b/standin/src/test/java/spanrill/standin/RogueFront.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import spanrill.check.Checker;
-import spanrill.check.Tap;
-import spanrill.check.TapEvent;
+import spanrill.check.EventRecorder;
+import spanrill.check.RuleChecker;
+import spanrill.check.TraceEvent;
 import spanrill.check.Verdict;
 import spanrill.day.Day;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 import spanrill.standin.box.BoxFleet;
 import spanrill.standin.box.Receipts;
@@ -54,7 +54,7 @@
             new Day.Registry(List.of(0.0, 0.0), List.of(0.0, 0.0)),
             List.of());
 
-    final Tap tap = new Tap(null);
+    final EventRecorder tap = new EventRecorder(null);
     final Receipts receipts = new Receipts();
     final BoxFleet fleet;
     final EventLoop loop;
@@ -65,11 +65,15 @@
         this(null);
     }
 
-    RogueFront(Rows<SecondRow> rows) throws Exception {
+    RogueFront(ParquetRows<SecondRow> rows) throws Exception {
         loop = group.next();
-        tap.put(new TapEvent.Facts(
+        tap.record(new TraceEvent.RunParameters(
                 0,
-                Map.of("free", new TapEvent.ClassFacts(false, 0, 0), "paid", new TapEvent.ClassFacts(true, 1, 0)),
+                Map.of(
+                        "free",
+                        new TraceEvent.ClassParameters(false, 0, 0),
+                        "paid",
+                        new TraceEvent.ClassParameters(true, 1, 0)),
                 20,
                 250,
                 4000,
@@ -85,12 +89,12 @@
 
     /** A viewer asks, as far as the records go. */
     long ask(String token, String cls) {
-        tap.put(new TapEvent.Ask(tap.now(), ++asks, 0, token, cls, "title", 1000));
+        tap.record(new TraceEvent.Request(tap.nowMs(), ++asks, 0, token, cls, "title", 1000));
         return asks;
     }
 
     void answer(long ask, String answer) {
-        tap.put(new TapEvent.Answer(tap.now(), ask, 200, answer));
+        tap.record(new TraceEvent.Answer(tap.nowMs(), ask, 200, answer));
     }
 
     /** A set-up over a socket; gives its status, or 0 when the connection was lost. */
@@ -158,9 +162,9 @@
 
     /** The rules that the checker finds broken. */
     List<Integer> broken() {
-        tap.put(new TapEvent.BoxDown(tap.now() + 10_000, "nowhere", "end"));
-        return Checker.judge(tap.events()).stream()
-                .filter(v -> !v.held())
+        tap.record(new TraceEvent.BoxStopped(tap.nowMs() + 10_000, "nowhere", "end"));
+        return RuleChecker.evaluate(tap.events()).stream()
+                .filter(v -> !v.passed())
                 .map(Verdict::rule)
                 .toList();
     }
--- a/standin/src/test/java/spanrill/standin/SharedLinkTest.java
+++ b/standin/src/test/java/spanrill/standin/SharedLinkTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import spanrill.results.Rows;
+import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 import spanrill.results.ShareCheck;
 import spanrill.wire.box.BoxLink;
@@ -68,7 +68,7 @@
     @Test
     void fortySessionsShareALinkThatDropsToAQuarterAndAnUplinkThatIsShort(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("seconds.parquet");
-        try (Rows<SecondRow> rows = new Rows<>(file, SecondRow.class);
+        try (ParquetRows<SecondRow> rows = new ParquetRows<>(file, SecondRow.class);
                 RogueFront front = new RogueFront(rows)) {
             for (int i = 0; i < SESSIONS; i++) {
                 int box = i % 2;
@@ -95,10 +95,10 @@
             });
             seconds(front, 4);
         }
-        List<SecondRow> rows = Rows.read(file, SecondRow.class);
-        ShareCheck.Result result = ShareCheck.of(rows);
-        assertTrue(result.held(), result.toString());
-        assertTrue(result.rule().count() > 100, result.toString());
+        List<SecondRow> rows = ParquetRows.read(file, SecondRow.class);
+        ShareCheck.Result result = ShareCheck.check(rows);
+        assertTrue(result.passed(), result.toString());
+        assertTrue(result.receivedVsRule().count() > 100, result.toString());
     }
 
     private static void seconds(RogueFront front, int seconds) throws Exception {
