--- a/cli/src/test/java/spanrill/cli/RehearseTest.java
+++ b/cli/src/test/java/spanrill/cli/RehearseTest.java
@@ -129,7 +129,7 @@
                     java.util.Map.of());
             assertEquals(
                     spanrill.settings.Settings.read(file, spanrill.front.FrontSettings.class)
-                            .core(),
+                            .coreSettings(),
                     spanrill.emulator.FrontPlan.of(day, fleet, 1, 9));
         }
         CommandLineOutput shown = run(
--- a/cli/src/test/java/spanrill/path/PathBench.java
+++ b/cli/src/test/java/spanrill/path/PathBench.java
@@ -100,7 +100,7 @@
     }
 
     int sessions() {
-        return front.sessions();
+        return front.sessionCount();
     }
 
     String token(String cls) {
--- a/front/src/main/java/spanrill/front/FrontDaemon.java
+++ b/front/src/main/java/spanrill/front/FrontDaemon.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.TimeUnit;
 import spanrill.decisions.BoxDirectory;
 import spanrill.decisions.ConnectionBudget;
-import spanrill.front.box.HttpBoxSide;
-import spanrill.front.dash.DashViewerSide;
-import spanrill.front.list.KeptList;
-import spanrill.front.list.ListClient;
+import spanrill.front.box.HttpBoxClient;
+import spanrill.front.dash.DashRequestRouter;
+import spanrill.front.list.BoxListFile;
+import spanrill.front.list.RegistryClient;
 import spanrill.front.store.TokenStore;
-import spanrill.front.token.TokenGate;
 import spanrill.front.token.TokenKeys;
+import spanrill.front.token.TokenVerifier;
 import spanrill.loop.Clock;
 import spanrill.loop.EventLoopScheduler;
 import spanrill.session.SessionCore;
@@ -44,10 +44,10 @@
     private final FrontSettings settings;
     private final SessionCore core;
     private final TokenStore tokens;
-    private final HttpBoxSide boxes;
-    private final ListClient list;
+    private final HttpBoxClient boxes;
+    private final RegistryClient list;
     private final TokenKeys keys;
-    private final TokenGate gate;
+    private final TokenVerifier gate;
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
     private final Channel server;
     private final ConnectionBudget connections;
@@ -61,20 +61,21 @@
         Clock clock = new Clock();
         tokens = TokenStore.open(base.resolve(settings.state()), loop);
         core = new SessionCore(
-                settings.core(),
-                new SessionCore.Host(new EventLoopScheduler(loop, clock), EventLog.sink(), tokens, new SessionNames()));
+                settings.coreSettings(),
+                new SessionCore.Host(
+                        new EventLoopScheduler(loop, clock), EventLog.sink(), tokens, new SessionIdGenerator()));
         core.onReady(() -> ready.complete(null));
-        tokens.kept().forEach((token, kept) -> {
+        tokens.storedTokens().forEach((token, kept) -> {
             if (kept.expiresAt() > clock.now()) {
                 core.restoreToken(token, kept.fate() == SpentTokenStore.TokenState.USED, kept.expiresAt());
             }
         });
-        gate = new TokenGate(
+        gate = new TokenVerifier(
                 keys, settings.limits().tokenThreads(), settings.limits().tokenWaiting(), clock::now);
         BoxDirectory book = new BoxDirectory(settings.limits().boxes());
-        boxes = new HttpBoxSide(settings, loop, core, book::box);
-        list = new ListClient(settings, loop, core, book, new KeptList(base.resolve(settings.state())), disk);
-        DashViewerSide viewers = new DashViewerSide(settings, core, boxes, gate, clock);
+        boxes = new HttpBoxClient(settings, loop, core, book::box);
+        list = new RegistryClient(settings, loop, core, book, new BoxListFile(base.resolve(settings.state())), disk);
+        DashRequestRouter viewers = new DashRequestRouter(settings, core, boxes, gate, clock);
         loop.submit(() -> {
                     core.start(boxes);
                     list.start();
@@ -94,11 +95,11 @@
      */
     public static FrontDaemon start(FrontSettings settings, Path base) throws IOException {
         FrontDaemon daemon = new FrontDaemon(settings, base);
-        EventLog.info("front.listening", "front", settings.me(), "port", daemon.port(), "keys", daemon.keys.ids());
+        EventLog.info("front.listening", "front", settings.me(), "port", daemon.port(), "keys", daemon.keys.keyIds());
         return daemon;
     }
 
-    private Channel bind(DashViewerSide viewers) throws IOException {
+    private Channel bind(DashRequestRouter viewers) throws IOException {
         HttpServerHandler.ConnectionLimits times = new HttpServerHandler.ConnectionLimits(
                 settings.limits().requestMs(), IDLE_CONNECTION_MS, PIPELINED_BYTES);
         var future = HttpServer.bind(
@@ -109,7 +110,7 @@
                 times,
                 this::admit,
                 viewers::route,
-                FrontDaemon::refused);
+                FrontDaemon::logTlsAttempt);
         if (!future.awaitUninterruptibly().isSuccess()) {
             close();
             throw new IOException("can't listen on " + settings.listen().host() + ":"
@@ -119,7 +120,7 @@
         return future.channel();
     }
 
-    private static void refused(HttpProtocolException fault) {
+    private static void logTlsAttempt(HttpProtocolException fault) {
         if (fault.isTlsHello()) {
             EventLog.warn("viewer.tls", "reason", fault.getMessage());
         }
@@ -139,7 +140,7 @@
     private void reloadKeys() {
         try {
             if (keys.reload()) {
-                EventLog.info("keys.loaded", "keys", keys.ids());
+                EventLog.info("keys.loaded", "keys", keys.keyIds());
             }
         } catch (IOException e) {
             EventLog.warn("keys.unusable", "reason", e.getMessage());
@@ -157,7 +158,7 @@
     }
 
     /** Sessions held now; may be asked from any thread. */
-    public int sessions() {
+    public int sessionCount() {
         return group.next().submit(core::sessionCount).syncUninterruptibly().getNow();
     }
 
--- a/front/src/main/java/spanrill/front/FrontSettings.java
+++ b/front/src/main/java/spanrill/front/FrontSettings.java
@@ -252,7 +252,7 @@
     }
 
     /** What the module starts with. */
-    public SessionControl.Settings module() {
+    public SessionControl.Settings moduleSettings() {
         List<SessionControl.ServiceClass> types = new ArrayList<>();
         int highest = ladder.kb().size() - 1;
         classes.forEach((name, c) -> types.add(new SessionControl.ServiceClass(
@@ -294,14 +294,14 @@
     }
 
     /** What the core starts with. */
-    public CoreSettings core() {
+    public CoreSettings coreSettings() {
         Map<String, SessionType> types = new HashMap<>();
         classes.forEach((name, c) -> types.put(
                 name,
                 new SessionType(
                         c.once(), c.floor(), c.scale(), new AnswerDeadline(c.patienceMs(), limits.answerMarginMs()))));
         return new CoreSettings(
-                module(),
+                moduleSettings(),
                 seed,
                 Map.copyOf(types),
                 limits.idleMs(),
--- a/front/src/main/java/spanrill/front/SessionNames.java
+++ b/front/src/main/java/spanrill/front/SessionIdGenerator.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /** Public names of sessions: 128 random bits, so that knowing one is leave to use it. */
-final class SessionNames implements Supplier<String> {
+final class SessionIdGenerator implements Supplier<String> {
     private static final int BYTES = 16;
     private final SecureRandom random = new SecureRandom();
 
--- a/front/src/main/java/spanrill/front/box/BoxPool.java
+++ b/front/src/main/java/spanrill/front/box/BoxConnectionPool.java
@@ -11,14 +11,14 @@
 import spanrill.wire.http.HttpLimits;
 
 /** The connections of this front to one box. Which one an exchange takes is decided by {@link PoolPolicy}. */
-final class BoxPool {
+final class BoxConnectionPool {
     /** Waits for a connection. */
-    interface Taker {
+    interface ConnectionRequest {
         /** Here it is; false when it is not wanted any more. */
-        boolean take(HttpClientConnection connection);
+        boolean onConnection(HttpClientConnection connection);
 
         /** None could be had, and why. */
-        void none(OutcomeTable.Event why);
+        void onUnavailable(OutcomeTable.Event why);
     }
 
     private final EventLoop loop;
@@ -26,10 +26,10 @@
     private final PoolPolicy policy;
     private final int connectMs;
     private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Taker> queue = new ArrayDeque<>();
+    private final ArrayDeque<BoxConnectionPool.ConnectionRequest> queue = new ArrayDeque<>();
     private int open;
 
-    BoxPool(EventLoop loop, InetSocketAddress address, PoolPolicy policy, int connectMs) {
+    BoxConnectionPool(EventLoop loop, InetSocketAddress address, PoolPolicy policy, int connectMs) {
         this.loop = loop;
         this.address = address;
         this.policy = policy;
@@ -46,22 +46,22 @@
      * @param control true for set-up, rung and release
      * @param fresh true when only a connection of its own will do: one refused then proves that nothing ran
      */
-    void take(boolean control, boolean fresh, Taker taker) {
+    void acquire(boolean control, boolean fresh, BoxConnectionPool.ConnectionRequest taker) {
         idle.removeIf(connection -> !connection.isAvailable());
         switch (policy.choose(control, fresh ? 0 : idle.size(), open, queue.size())) {
             case REUSE -> {
                 HttpClientConnection connection = idle.pollLast();
-                if (!taker.take(connection)) {
+                if (!taker.onConnection(connection)) {
                     idle.addLast(connection);
                 }
             }
             case OPEN -> open(taker);
             case WAIT -> queue.add(taker);
-            default -> taker.none(OutcomeTable.Event.POOL_EXHAUSTED);
+            default -> taker.onUnavailable(OutcomeTable.Event.POOL_EXHAUSTED);
         }
     }
 
-    private void open(Taker taker) {
+    private void open(BoxConnectionPool.ConnectionRequest taker) {
         open++;
         HttpClientConnection.open(
                 loop,
@@ -69,9 +69,9 @@
                 connectMs,
                 HttpLimits.CLIENT,
                 connection -> {
-                    connection.onClosed(this::closed);
-                    if (!taker.take(connection)) {
-                        giveBack(connection);
+                    connection.onClosed(this::handleClosed);
+                    if (!taker.onConnection(connection)) {
+                        release(connection);
                     }
                 },
                 cause -> {
@@ -79,38 +79,39 @@
                     // Netty's connect time-out is a ConnectException too; it tells itself by its message.
                     boolean refused = cause instanceof ConnectException
                             && !String.valueOf(cause.getMessage()).contains("timed out");
-                    taker.none(refused ? OutcomeTable.Event.CONNECT_REFUSED : OutcomeTable.Event.CONNECT_TIMED_OUT);
-                    next();
+                    taker.onUnavailable(
+                            refused ? OutcomeTable.Event.CONNECT_REFUSED : OutcomeTable.Event.CONNECT_TIMED_OUT);
+                    openForNextWaiter();
                 });
     }
 
     /** An exchange is done with its connection. */
-    void giveBack(HttpClientConnection connection) {
+    void release(HttpClientConnection connection) {
         if (!connection.isAvailable()) {
             return;
         }
-        for (Taker waiting = queue.poll(); waiting != null; waiting = queue.poll()) {
-            if (waiting.take(connection)) {
+        for (BoxConnectionPool.ConnectionRequest waiting = queue.poll(); waiting != null; waiting = queue.poll()) {
+            if (waiting.onConnection(connection)) {
                 return;
             }
         }
         idle.addLast(connection);
     }
 
-    private void closed(HttpClientConnection connection) {
+    private void handleClosed(HttpClientConnection connection) {
         open--;
         idle.remove(connection);
-        next();
+        openForNextWaiter();
     }
 
-    private void next() {
+    private void openForNextWaiter() {
         if (!queue.isEmpty() && policy.choose(false, 0, open, 0) == PoolPolicy.Choice.OPEN) {
             open(queue.poll());
         }
     }
 
     /** Ends all that rests, and executor away what waits. */
-    void close(Consumer<Taker> turnAway) {
+    void close(Consumer<BoxConnectionPool.ConnectionRequest> turnAway) {
         queue.forEach(turnAway);
         queue.clear();
         idle.forEach(HttpClientConnection::abort);
--- a/front/src/main/java/spanrill/front/box/HttpBoxSide.java
+++ b/front/src/main/java/spanrill/front/box/HttpBoxClient.java
@@ -23,7 +23,7 @@
 import spanrill.wire.http.ResponseHead;
 
 /** Reaches boxes over HTTP/1.1. */
-public final class HttpBoxSide implements BoxClient, SegmentSource {
+public final class HttpBoxClient implements BoxClient, SegmentSource {
     /**
      * A release or rung that isn't answered within this time is given up: the box ends idle sessions
      * itself.
@@ -39,11 +39,11 @@
     private final SessionCore core;
     private final Function<String, Box> book;
     private final PoolPolicy policy;
-    private final Map<String, BoxPool> pools = new HashMap<>();
+    private final Map<String, BoxConnectionPool> pools = new HashMap<>();
     private final Map<String, NotesStream> notes = new HashMap<>();
 
     /** Boxes are looked up in {@code book} by name. */
-    public HttpBoxSide(FrontSettings settings, EventLoop loop, SessionCore core, Function<String, Box> book) {
+    public HttpBoxClient(FrontSettings settings, EventLoop loop, SessionCore core, Function<String, Box> book) {
         this.settings = settings;
         this.loop = loop;
         this.core = core;
@@ -53,23 +53,23 @@
                 limits.boxConnections(), Math.min(KEPT, limits.boxConnections() / 2), limits.boxWaiting());
     }
 
-    Headers headers() {
+    Headers frontHeaders() {
         return Headers.of("host", "box", BoxLink.FRONT, Integer.toString(settings.me()), BoxLink.ZONE, settings.zone());
     }
 
-    private BoxPool pool(String id) {
+    private BoxConnectionPool pool(String id) {
         Box box = book.apply(id);
         if (box == null) {
             return null;
         }
-        BoxPool pool = pools.get(id);
+        BoxConnectionPool pool = pools.get(id);
         if (pool == null
                 || pool.address().getPort() != box.port()
                 || !pool.address().getHostString().equals(box.host())) {
             if (pool != null) {
-                pool.close(taker -> taker.none(OutcomeTable.Event.CLOSED));
+                pool.close(taker -> taker.onUnavailable(OutcomeTable.Event.CLOSED));
             }
-            pool = new BoxPool(
+            pool = new BoxConnectionPool(
                     loop,
                     new InetSocketAddress(box.host(), box.port()),
                     policy,
@@ -81,7 +81,7 @@
 
     @Override
     public Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener) {
-        BoxPool pool = pool(order.box());
+        BoxConnectionPool pool = pool(order.box());
         if (pool == null) {
             listener.onEnded(Outcome.CONNECT_FAILED, null);
             return why -> Outcome.CONNECT_FAILED;
@@ -94,25 +94,25 @@
         SetUpAttempt attempt = new SetUpAttempt(this, order, pool, listener);
         // What spends something goes on a connection of its own: a refused connect then proves that it never
         // ran, where a connection that the box closed meanwhile proves nothing.
-        pool.take(true, order.spends(), attempt);
+        pool.acquire(true, order.spends(), attempt);
         return attempt;
     }
 
-    void forgetNotes(String box, NotesStream stream) {
+    void removeNotesStream(String box, NotesStream stream) {
         notes.remove(box, stream);
     }
 
     /** Tells a box to end an attempt that was given up; nobody waits for the answer. */
-    void callOff(String box, String key) {
-        control(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, load -> {});
+    void cancelAttempt(String box, String key) {
+        sendControl(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, load -> {});
     }
 
-    double now() {
+    double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
     /** Calls an attempt off and tells whether that proves that it never ran; false after a time. */
-    void settle(String box, String key, double sentAt, Consumer<Boolean> done) {
+    void cancelAndQueryRan(String box, String key, double sentAt, Consumer<Boolean> done) {
         boolean[] told = {false};
         Consumer<Boolean> once = neverRan -> {
             if (!told[0]) {
@@ -126,38 +126,39 @@
             double upMs = head == null || head.headers().get(BoxLink.UPTIME_MS) == null
                     ? Double.NaN
                     : BoxLink.parseNonNegative(head.headers().get(BoxLink.UPTIME_MS));
-            once.accept(CancellationProof.provesNeverRan(ran == null ? null : ran.equals("1"), upMs, now() - sentAt));
+            once.accept(CancellationProof.provesNeverRan(ran == null ? null : ran.equals("1"), upMs, nowMs() - sentAt));
         });
     }
 
     @Override
     public void setRung(String box, String key, int rung) {
-        control(box, "POST", BoxLink.ATTEMPT_PATH_PREFIX + key + "/rung?to=" + rung, load -> {});
+        sendControl(box, "POST", BoxLink.ATTEMPT_PATH_PREFIX + key + "/rung?to=" + rung, load -> {});
     }
 
     @Override
     public void release(String box, String key, Consumer<Load> done) {
-        control(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, done);
+        sendControl(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, done);
     }
 
-    private void control(String box, String method, String target, Consumer<Load> done) {
+    private void sendControl(String box, String method, String target, Consumer<Load> done) {
         exchange(box, method, target, (load, head) -> done.accept(load));
     }
 
     private void exchange(String box, String method, String target, BiConsumer<Load, ResponseHead> done) {
-        BoxPool pool = pool(box);
+        BoxConnectionPool pool = pool(box);
         if (pool == null) {
             done.accept(null, null);
             return;
         }
         ControlCall call = new ControlCall(pool, method, target, done);
         loop.schedule(call::late, CONTROL_MS, TimeUnit.MILLISECONDS);
-        pool.take(true, false, call);
+        pool.acquire(true, false, call);
     }
 
     /** A small exchange of which only the head matters. */
-    private final class ControlCall implements BoxPool.Taker, HttpClientConnection.Listener {
-        private final BoxPool pool;
+    private final class ControlCall
+            implements spanrill.front.box.BoxConnectionPool.ConnectionRequest, HttpClientConnection.Listener {
+        private final BoxConnectionPool pool;
         private final String method;
         private final String target;
         private final BiConsumer<Load, ResponseHead> done;
@@ -166,7 +167,7 @@
         private boolean answered;
         private boolean over;
 
-        ControlCall(BoxPool pool, String method, String target, BiConsumer<Load, ResponseHead> done) {
+        ControlCall(BoxConnectionPool pool, String method, String target, BiConsumer<Load, ResponseHead> done) {
             this.pool = pool;
             this.method = method;
             this.target = target;
@@ -174,19 +175,19 @@
         }
 
         @Override
-        public boolean take(HttpClientConnection given) {
+        public boolean onConnection(HttpClientConnection given) {
             if (over) {
                 return false;
             }
             connection = given;
-            if (!connection.send(method, target, headers(), NO_BODY, this)) {
+            if (!connection.send(method, target, frontHeaders(), NO_BODY, this)) {
                 finish();
             }
             return true;
         }
 
         @Override
-        public void none(OutcomeTable.Event why) {
+        public void onUnavailable(OutcomeTable.Event why) {
             finish();
         }
 
@@ -197,7 +198,7 @@
 
         @Override
         public void onEnd() {
-            pool.giveBack(connection);
+            pool.release(connection);
             answered = true;
             finish();
         }
@@ -225,26 +226,26 @@
     }
 
     @Override
-    public Segment fetch(String box, String key, String path, String range, SegmentSink sink) {
-        BoxPool pool = pool(box);
+    public SegmentSource.SegmentTransfer fetch(String box, String key, String path, String range, SegmentSink sink) {
+        BoxConnectionPool pool = pool(box);
         if (pool == null) {
-            sink.lost(0, "the box is not known any more");
-            return new Segment() {
+            sink.onLost(0, "the box is not known any more");
+            return new SegmentSource.SegmentTransfer() {
                 @Override
-                public void reading(boolean on) {}
+                public void setReading(boolean on) {}
 
                 @Override
                 public void cancel() {}
             };
         }
         SegmentFetch fetch = new SegmentFetch(this, pool, key, path, range, sink);
-        pool.take(false, false, fetch);
+        pool.acquire(false, false, fetch);
         return fetch;
     }
 
     /** Ends all streams and connections that rest. */
     public void close() {
         notes.values().forEach(NotesStream::close);
-        pools.values().forEach(pool -> pool.close(taker -> taker.none(OutcomeTable.Event.CLOSED)));
+        pools.values().forEach(pool -> pool.close(taker -> taker.onUnavailable(OutcomeTable.Event.CLOSED)));
     }
 }
--- a/front/src/main/java/spanrill/front/box/NotesStream.java
+++ b/front/src/main/java/spanrill/front/box/NotesStream.java
@@ -27,7 +27,7 @@
     private static final double LEAST_MS = 50;
     private static final double MOST_MS = 2000;
 
-    private final HttpBoxSide side;
+    private final HttpBoxClient side;
     private final SessionCore core;
     private final EventLoop loop;
     private final String box;
@@ -37,7 +37,7 @@
     private HttpClientConnection connection;
     private boolean closed;
 
-    NotesStream(HttpBoxSide side, SessionCore core, EventLoop loop, String box, InetSocketAddress address) {
+    NotesStream(HttpBoxClient side, SessionCore core, EventLoop loop, String box, InetSocketAddress address) {
         this.side = side;
         this.core = core;
         this.loop = loop;
@@ -54,13 +54,13 @@
                 HttpLimits.CLIENT,
                 opened -> {
                     connection = opened;
-                    if (closed || !opened.send("GET", BoxLink.NOTES_PATH, side.headers(), new byte[0], this)) {
+                    if (closed || !opened.send("GET", BoxLink.NOTES_PATH, side.frontHeaders(), new byte[0], this)) {
                         opened.abort();
                     }
                 },
                 cause -> {
                     core.handleBoxLost(box, SessionEnd.BOX_GONE);
-                    follow(watch.onUnreachable(core.hasSessionsAt(box)));
+                    applyReaction(watch.onUnreachable(core.hasSessionsAt(box)));
                 });
     }
 
@@ -71,12 +71,12 @@
         }
     }
 
-    private void follow(BoxProcessMonitor.Reaction next) {
+    private void applyReaction(BoxProcessMonitor.Reaction next) {
         if (closed) {
             return;
         }
         if (next.reopenDelayMs() < 0) {
-            side.forgetNotes(box, this);
+            side.removeNotesStream(box, this);
         } else if (next.reopenDelayMs() == 0) {
             open();
         } else {
@@ -104,7 +104,7 @@
         while (part.isReadable()) {
             byte next = part.readByte();
             if (next == '\n') {
-                take(line.toString(StandardCharsets.US_ASCII));
+                handleLine(line.toString(StandardCharsets.US_ASCII));
                 line.reset();
             } else if (line.size() >= MOST_LINE) {
                 EventLog.warn("notes.malformed", "box", box, "reason", "a line is too long");
@@ -117,7 +117,7 @@
         }
     }
 
-    private void take(String text) {
+    private void handleLine(String text) {
         Note note = Note.parse(text);
         if (note == null) {
             EventLog.warn("notes.malformed", "box", box, "reason", "a line is no note");
@@ -145,6 +145,6 @@
     @Override
     public void onFailure(HttpClientConnection.Failure loss, String reason) {
         line.reset();
-        follow(watch.onStreamBroken(core.hasSessionsAt(box)));
+        applyReaction(watch.onStreamBroken(core.hasSessionsAt(box)));
     }
 }
--- a/front/src/main/java/spanrill/front/box/SegmentFetch.java
+++ b/front/src/main/java/spanrill/front/box/SegmentFetch.java
@@ -8,11 +8,14 @@
 import spanrill.wire.http.ResponseHead;
 
 /** One segment on its way from a box; held back, never kept. */
-final class SegmentFetch implements SegmentSource.Segment, BoxPool.Taker, HttpClientConnection.Listener {
+final class SegmentFetch
+        implements spanrill.front.box.SegmentSource.SegmentTransfer,
+                spanrill.front.box.BoxConnectionPool.ConnectionRequest,
+                HttpClientConnection.Listener {
     private static final byte[] NO_BODY = {};
 
-    private final HttpBoxSide side;
-    private final BoxPool pool;
+    private final HttpBoxClient side;
+    private final BoxConnectionPool pool;
     private final String target;
     private final String range;
     private final SegmentSource.SegmentSink sink;
@@ -21,7 +24,12 @@
     private boolean over;
 
     SegmentFetch(
-            HttpBoxSide side, BoxPool pool, String key, String path, String range, SegmentSource.SegmentSink sink) {
+            HttpBoxClient side,
+            BoxConnectionPool pool,
+            String key,
+            String path,
+            String range,
+            SegmentSource.SegmentSink sink) {
         this.side = side;
         this.pool = pool;
         this.target = BoxLink.ATTEMPT_PATH_PREFIX + key + "/" + path;
@@ -30,12 +38,12 @@
     }
 
     @Override
-    public boolean take(HttpClientConnection given) {
+    public boolean onConnection(HttpClientConnection given) {
         if (over) {
             return false;
         }
         connection = given;
-        Headers headers = side.headers();
+        Headers headers = side.frontHeaders();
         if (range != null) {
             headers.add("range", range);
         }
@@ -46,14 +54,14 @@
     }
 
     @Override
-    public void none(OutcomeTable.Event why) {
+    public void onUnavailable(OutcomeTable.Event why) {
         onFailure(0, why.toString());
     }
 
     @Override
     public void onHead(ResponseHead head) {
         if (head.status() == 200 || head.status() == 206) {
-            sink.head(head);
+            sink.onHead(head);
         } else {
             refusedStatus = head.status();
         }
@@ -62,18 +70,18 @@
     @Override
     public void onData(ByteBuf part) {
         if (!over && refusedStatus == 0) {
-            sink.data(part);
+            sink.onData(part);
         }
     }
 
     @Override
     public void onEnd() {
-        pool.giveBack(connection);
+        pool.release(connection);
         if (refusedStatus != 0) {
             onFailure(refusedStatus, "the box answered " + refusedStatus);
         } else if (!over) {
             over = true;
-            sink.end();
+            sink.onEnd();
         }
     }
 
@@ -85,12 +93,12 @@
     private void onFailure(int status, String reason) {
         if (!over) {
             over = true;
-            sink.lost(status, reason);
+            sink.onLost(status, reason);
         }
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         if (connection != null && !over) {
             connection.setAutoRead(on);
         }
--- a/front/src/main/java/spanrill/front/box/SegmentSource.java
+++ b/front/src/main/java/spanrill/front/box/SegmentSource.java
@@ -8,27 +8,27 @@
     /** Takes a segment as it comes. */
     interface SegmentSink {
         /** Its head; the status is a success. */
-        void head(ResponseHead head);
+        void onHead(ResponseHead head);
 
         /** Part of it; lent for the call. */
-        void data(ByteBuf part);
+        void onData(ByteBuf part);
 
         /** It is complete. */
-        void end();
+        void onEnd();
 
         /** It was lost, or never began. */
-        void lost(int status, String reason);
+        void onLost(int status, String reason);
     }
 
     /** A segment under way. */
-    interface Segment {
+    interface SegmentTransfer {
         /** Reads on or holds back. */
-        void reading(boolean on);
+        void setReading(boolean on);
 
         /** Gives it up; its sink hears no more. */
         void cancel();
     }
 
     /** Fetches a segment of a session: {@code path} is what follows the attempt's prefix. */
-    Segment fetch(String box, String key, String path, String range, SegmentSink sink);
+    SegmentSource.SegmentTransfer fetch(String box, String key, String path, String range, SegmentSink sink);
 }
--- a/front/src/main/java/spanrill/front/box/SetUpAttempt.java
+++ b/front/src/main/java/spanrill/front/box/SetUpAttempt.java
@@ -14,12 +14,15 @@
 import spanrill.wire.http.ResponseHead;
 
 /** One set-up on the wire: follows how far it came, and reads its end by {@link OutcomeTable}. */
-final class SetUpAttempt implements BoxClient.Attempt, BoxPool.Taker, HttpClientConnection.Listener {
+final class SetUpAttempt
+        implements BoxClient.Attempt,
+                spanrill.front.box.BoxConnectionPool.ConnectionRequest,
+                HttpClientConnection.Listener {
     private static final byte[] NO_BODY = {};
 
-    private final HttpBoxSide side;
+    private final HttpBoxClient side;
     private final BoxClient.SetUpRequest order;
-    private final BoxPool pool;
+    private final BoxConnectionPool pool;
     private final BoxClient.AttemptListener listener;
     private HttpClientConnection connection;
     private Stage stage = Stage.CONNECTING;
@@ -29,7 +32,11 @@
     private boolean settling;
     private boolean over;
 
-    SetUpAttempt(HttpBoxSide side, BoxClient.SetUpRequest order, BoxPool pool, BoxClient.AttemptListener listener) {
+    SetUpAttempt(
+            HttpBoxClient side,
+            BoxClient.SetUpRequest order,
+            BoxConnectionPool pool,
+            BoxClient.AttemptListener listener) {
         this.side = side;
         this.order = order;
         this.pool = pool;
@@ -37,13 +44,13 @@
     }
 
     @Override
-    public boolean take(HttpClientConnection given) {
+    public boolean onConnection(HttpClientConnection given) {
         if (over) {
             return false;
         }
         connection = given;
         stage = Stage.CONNECTED;
-        Headers headers = side.headers()
+        Headers headers = side.frontHeaders()
                 .add(BoxLink.ATTEMPT_KEY, order.key())
                 .add(BoxLink.TOKEN, order.request().tokenId())
                 .add(BoxLink.CLASS, order.request().className())
@@ -55,7 +62,7 @@
         }
         if (connection.send("POST", BoxLink.SETUP_PATH, headers, NO_BODY, this)) {
             stage = Stage.WRITTEN;
-            sentAt = side.now();
+            sentAt = side.nowMs();
         } else {
             finish(Event.CLOSED);
         }
@@ -63,7 +70,7 @@
     }
 
     @Override
-    public void none(Event why) {
+    public void onUnavailable(Event why) {
         finish(why);
     }
 
@@ -86,7 +93,7 @@
 
     @Override
     public void onEnd() {
-        pool.giveBack(connection);
+        pool.release(connection);
         // A success without a media byte is no session.
         finish(refusal == null ? Event.ERROR_STATUS : refusal);
     }
@@ -109,21 +116,22 @@
         switch (FailedSetUpAction.choose(stage, outcome, order.spends())) {
             case QUERY_BOX -> {
                 settling = true;
-                side.settle(
+                side.cancelAndQueryRan(
                         order.box(),
                         order.key(),
                         sentAt,
-                        neverRan -> ended(neverRan ? OutcomeTable.outcomeOf(stage, Event.PROVEN_NEVER_RAN) : outcome));
+                        neverRan ->
+                                reportEnd(neverRan ? OutcomeTable.outcomeOf(stage, Event.PROVEN_NEVER_RAN) : outcome));
             }
             case CANCEL -> {
-                side.callOff(order.box(), order.key());
-                ended(outcome);
+                side.cancelAttempt(order.box(), order.key());
+                reportEnd(outcome);
             }
-            default -> ended(outcome);
+            default -> reportEnd(outcome);
         }
     }
 
-    private void ended(Outcome outcome) {
+    private void reportEnd(Outcome outcome) {
         if (!over) {
             over = true;
             listener.onEnded(outcome, load);
@@ -138,7 +146,7 @@
             if (connection != null) {
                 connection.abort();
                 if (!settling) {
-                    side.callOff(order.box(), order.key());
+                    side.cancelAttempt(order.box(), order.key());
                 }
             }
         }
--- a/front/src/main/java/spanrill/front/dash/Cors.java
+++ b/front/src/main/java/spanrill/front/dash/CorsHandler.java
@@ -5,7 +5,7 @@
 import spanrill.wire.http.Headers;
 
 /** Lets players in pages of other origins use this front (Fetch standard, section 3.2, CORS protocol). */
-final class Cors {
+final class CorsHandler {
     private static final String AGE_S = "600";
     private static final String EXPOSED = "spanrill-answer, spanrill-rung, retry-after, content-range, etag";
     private static final String ALLOWED =
@@ -13,12 +13,12 @@
 
     private final List<String> origins;
 
-    Cors(List<String> origins) {
+    CorsHandler(List<String> origins) {
         this.origins = origins;
     }
 
     /** Adds what an allowed origin must be told; true when the exchange was a preflight and is answered. */
-    boolean answers(Exchange exchange) {
+    boolean handle(Exchange exchange) {
         String origin = exchange.head().headers().get("origin");
         if (origin == null || !(origins.contains("*") || origins.contains(origin))) {
             return false;
--- a/front/src/main/java/spanrill/front/dash/DashViewerSide.java
+++ b/front/src/main/java/spanrill/front/dash/DashRequestRouter.java
@@ -8,8 +8,8 @@
 import spanrill.front.FrontSettings;
 import spanrill.front.box.SegmentSource;
 import spanrill.front.token.SessionToken;
-import spanrill.front.token.TokenGate;
 import spanrill.front.token.TokenKeys;
+import spanrill.front.token.TokenVerifier;
 import spanrill.loop.Clock;
 import spanrill.session.Session;
 import spanrill.session.SessionCore;
@@ -28,7 +28,7 @@
  * <li>{@code DELETE /s/ID}: the viewer is done (players that just stop are noticed by their silence).
  * </ul>
  */
-public final class DashViewerSide {
+public final class DashRequestRouter {
     /** Field that tells what became of a request: plays, refused, failed or none. */
     public static final String ANSWER = "spanrill-answer";
     /** Field that tells, in a word, why a session is over: the words of {@link SessionEnd}. */
@@ -47,20 +47,21 @@
     private final FrontSettings settings;
     private final SessionCore core;
     private final SegmentSource boxes;
-    private final TokenGate gate;
-    private final Cors cors;
+    private final TokenVerifier gate;
+    private final CorsHandler cors;
     private final Clock clock;
     private final Map<String, SessionType> types;
 
     /** A viewer side on a core. */
-    public DashViewerSide(FrontSettings settings, SessionCore core, SegmentSource boxes, TokenGate gate, Clock clock) {
+    public DashRequestRouter(
+            FrontSettings settings, SessionCore core, SegmentSource boxes, TokenVerifier gate, Clock clock) {
         this.settings = settings;
         this.core = core;
         this.boxes = boxes;
         this.gate = gate;
-        cors = new Cors(settings.web().origins());
+        cors = new CorsHandler(settings.web().origins());
         this.clock = clock;
-        types = settings.core().types();
+        types = settings.coreSettings().types();
     }
 
     /** Takes a request. */
@@ -69,30 +70,30 @@
             String path = exchange.head().path();
             String method = exchange.head().method();
             boolean reads = method.equals("GET") || method.equals("HEAD");
-            if (cors.answers(exchange)) {
+            if (cors.handle(exchange)) {
                 return;
             }
             Matcher manifest = MANIFEST.matcher(path);
             Matcher segment = SEGMENT.matcher(path);
             Matcher session = SESSION.matcher(path);
             if (manifest.matches() && method.equals("GET")) {
-                ask(exchange, manifest.group(1));
+                requestManifest(exchange, manifest.group(1));
             } else if (segment.matches() && reads) {
-                segment(exchange, segment);
+                serveSegment(exchange, segment);
             } else if (session.matches() && (session.group(2) != null ? reads : method.equals("DELETE"))) {
-                session(exchange, session.group(1), session.group(2) != null);
+                serveSession(exchange, session.group(1), session.group(2) != null);
             } else if (manifest.matches() || segment.matches() || session.matches()) {
-                Problem.answer(exchange, 405, "method", "none", "This method is not served here.", 0);
+                ProblemResponse.respond(exchange, 405, "method", "none", "This method is not served here.", 0);
             } else {
-                Problem.answer(exchange, 404, "no-such-path", "none", "There is nothing here.", 0);
+                ProblemResponse.respond(exchange, 404, "no-such-path", "none", "There is nothing here.", 0);
             }
         } catch (RuntimeException e) {
             EventLog.error("viewer.fault", e);
-            Problem.answer(exchange, 500, "fault", "none", "A fault of this front.", 0);
+            ProblemResponse.respond(exchange, 500, "fault", "none", "A fault of this front.", 0);
         }
     }
 
-    private void ask(Exchange exchange, String title) {
+    private void requestManifest(Exchange exchange, String title) {
         double arrivedAt = clock.now();
         String text = tokenOf(exchange);
         // Read before it is verified: only how long it may wait hangs on it.
@@ -102,13 +103,14 @@
                 ? arrivedAt + SHORTEST_MS
                 : types.get(claimed).answerTime().deadline(arrivedAt);
         Runnable leave = gate.verify(
-                new TokenGate.Wish(text, title, (long) (arrivedAt / 1000), deadline, type == null ? 0 : type.worth()),
+                new spanrill.front.token.TokenVerifier.VerificationRequest(
+                        text, title, (long) (arrivedAt / 1000), deadline, type == null ? 0 : type.worth()),
                 exchange.channel().eventLoop(),
                 verdict -> {
-                    if (verdict.noRoom()) {
-                        Problem.answer(exchange, 503, "no-room", "none", "Too many ask; come later.", BUSY_MS);
+                    if (verdict.isShed()) {
+                        ProblemResponse.respond(exchange, 503, "no-room", "none", "Too many ask; come later.", BUSY_MS);
                     } else if (verdict.fault() != null) {
-                        Problem.answer(
+                        ProblemResponse.respond(
                                 exchange,
                                 verdict.fault().status(),
                                 "token",
@@ -116,7 +118,7 @@
                                 verdict.fault().getMessage(),
                                 0);
                     } else if (!exchange.isEnded()) {
-                        offer(exchange, verdict.token(), arrivedAt);
+                        requestSession(exchange, verdict.token(), arrivedAt);
                     }
                 });
         if (!exchange.isStarted()) {
@@ -124,10 +126,11 @@
         }
     }
 
-    private void offer(Exchange exchange, SessionToken token, double arrivedAt) {
+    private void requestSession(Exchange exchange, SessionToken token, double arrivedAt) {
         int top = Math.min(token.top(), settings.ladder().kb().size() - 1);
         if (top < settings.classes().get(token.className()).floor()) {
-            Problem.answer(exchange, 403, "token", "none", "the token's top rung is below its class's floor", 0);
+            ProblemResponse.respond(
+                    exchange, 403, "token", "none", "the token's top rung is below its class's floor", 0);
             return;
         }
         String tenant =
@@ -155,29 +158,31 @@
         return exchange.head().queryParameter("token");
     }
 
-    private void segment(Exchange exchange, Matcher path) {
+    private void serveSegment(Exchange exchange, Matcher path) {
         Session session = core.findSession(path.group(1));
         if (session == null) {
-            Problem.answer(exchange, 404, "no-session", "none", "There is no such session.", 0);
+            ProblemResponse.respond(exchange, 404, "no-session", "none", "There is no such session.", 0);
             return;
         }
         if (path.group(5) != null) {
-            new Relay(core, boxes, exchange, session, Relay.NO_RUNG, path.group(5)).run();
+            new SegmentRelay(core, boxes, exchange, session, SegmentRelay.NO_RUNG, path.group(5)).fetchSegment();
         } else if (path.group(2) != null) {
-            new Relay(core, boxes, exchange, session, Relay.NO_RUNG, "init.mp4").run();
+            new SegmentRelay(core, boxes, exchange, session, SegmentRelay.NO_RUNG, "init.mp4").fetchSegment();
         } else {
-            new Relay(core, boxes, exchange, session, Integer.parseInt(path.group(3)), path.group(4)).run();
+            new SegmentRelay(core, boxes, exchange, session, Integer.parseInt(path.group(3)), path.group(4))
+                    .fetchSegment();
         }
     }
 
-    private void session(Exchange exchange, String id, boolean manifest) {
+    private void serveSession(Exchange exchange, String id, boolean manifest) {
         Session session = core.findSession(id);
         if (session == null) {
-            Problem.answer(exchange, 404, "no-session", "none", "There is no such session.", 0);
+            ProblemResponse.respond(exchange, 404, "no-session", "none", "There is no such session.", 0);
         } else if (!session.inPlay()) {
-            Problem.over(exchange, 410, "session-over", "The session is not in play.", session.endReason(), 0);
+            ProblemResponse.respondSessionEnded(
+                    exchange, 410, "session-over", "The session is not in play.", session.endReason(), 0);
         } else if (manifest) {
-            ManifestCall.manifest(settings, exchange, session, "none");
+            ManifestCall.respondWithManifest(settings, exchange, session, "none");
         } else {
             core.endSession(session);
             exchange.respond(204, new Headers(), new byte[0]);
--- a/front/src/main/java/spanrill/front/dash/ManifestCall.java
+++ b/front/src/main/java/spanrill/front/dash/ManifestCall.java
@@ -29,12 +29,12 @@
 
     @Override
     public void onPlaying(Session session) {
-        manifest(settings, exchange, session, "plays");
+        respondWithManifest(settings, exchange, session, "plays");
     }
 
     @Override
     public void onRefused(double retryAfterMs) {
-        Problem.answer(
+        ProblemResponse.respond(
                 exchange,
                 503,
                 "refused",
@@ -45,7 +45,7 @@
 
     @Override
     public void onFailed() {
-        Problem.answer(
+        ProblemResponse.respond(
                 exchange,
                 502,
                 "failed",
@@ -58,35 +58,39 @@
     @Override
     public void onUnusable(ViewerCall.UnusableReason why) {
         switch (why) {
-            case USED -> Problem.answer(exchange, 403, "token-used", "none", "The session of this token is over.", 0);
-            case NO_ROOM -> Problem.answer(exchange, 503, "no-room", "none", "Too many sessions; come later.", 1000);
-            case NO_TITLE -> Problem.answer(exchange, 404, "no-title", "none", "There is no such title.", 0);
-            default -> Problem.answer(exchange, 503, "not-ready", "none", "This front has no list of boxes yet.", 500);
+            case USED ->
+                ProblemResponse.respond(exchange, 403, "token-used", "none", "The session of this token is over.", 0);
+            case NO_ROOM ->
+                ProblemResponse.respond(exchange, 503, "no-room", "none", "Too many sessions; come later.", 1000);
+            case NO_TITLE -> ProblemResponse.respond(exchange, 404, "no-title", "none", "There is no such title.", 0);
+            default ->
+                ProblemResponse.respond(
+                        exchange, 503, "not-ready", "none", "This front has no list of boxes yet.", 500);
         }
     }
 
     /** Answers with the session's MPD: its Representations go from the class's floor to the rung in force. */
-    static void manifest(FrontSettings settings, Exchange exchange, Session session, String answer) {
-        Mpd mpd = mpd(settings, session);
+    static void respondWithManifest(FrontSettings settings, Exchange exchange, Session session, String answer) {
+        Mpd mpd = buildMpd(settings, session);
         exchange.respond(
                 200,
-                Headers.of("cache-control", "no-store", DashViewerSide.ANSWER, answer),
+                Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER, answer),
                 "application/dash+xml",
                 MpdWriter.write(mpd));
     }
 
-    private static double kb(FrontSettings settings, Session session, int rung) {
+    private static double rateKbPerS(FrontSettings settings, Session session, int rung) {
         return settings.ladder().kb().get(rung) * session.type().scale();
     }
 
-    private static Mpd mpd(FrontSettings settings, Session session) {
+    private static Mpd buildMpd(FrontSettings settings, Session session) {
         Title title = session.title();
         int floor = session.type().floor();
-        double audio = TrackRates.audioRate(title.audioKb(), kb(settings, session, floor));
+        double audio = TrackRates.audioRate(title.audioKb(), rateKbPerS(settings, session, floor));
         Timeline timeline = Timeline.repeating(title.durationMs(), title.segmentMs());
         List<Mpd.Representation> rungs = new ArrayList<>();
         for (int rung = floor; rung <= Math.max(floor, session.rung()); rung++) {
-            double video = TrackRates.videoRate(kb(settings, session, rung), audio);
+            double video = TrackRates.videoRate(rateKbPerS(settings, session, rung), audio);
             rungs.add(new Mpd.Representation(Integer.toString(rung), Math.round(video * BITS), VIDEO_CODECS));
         }
         List<Mpd.AdaptationSet> sets = new ArrayList<>();
--- a/front/src/main/java/spanrill/front/dash/Problem.java
+++ b/front/src/main/java/spanrill/front/dash/ProblemResponse.java
@@ -7,10 +7,10 @@
 import spanrill.wire.http.Headers;
 
 /** Answers that are no success, as problem documents (RFC 9457). */
-final class Problem {
+final class ProblemResponse {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Problem() {}
+    private ProblemResponse() {}
 
     /**
      * Answers with a problem.
@@ -18,21 +18,22 @@
      * @param answer what became of the request: refused, failed, or none when it was never taken
      * @param retryAfterMs after how long to come again; 0 for no word about it
      */
-    static void answer(Exchange exchange, int status, String type, String answer, String detail, double retryAfterMs) {
+    static void respond(Exchange exchange, int status, String type, String answer, String detail, double retryAfterMs) {
         write(
                 exchange,
                 status,
                 type,
-                Headers.of("cache-control", "no-store", DashViewerSide.ANSWER, answer),
+                Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER, answer),
                 detail,
                 retryAfterMs);
     }
 
     /** Answers a player that asks for more of a session that is over; {@code end} is null when not known. */
-    static void over(Exchange exchange, int status, String type, String detail, SessionEnd end, double retryAfterMs) {
-        Headers headers = Headers.of("cache-control", "no-store", DashViewerSide.ANSWER, "none");
+    static void respondSessionEnded(
+            Exchange exchange, int status, String type, String detail, SessionEnd end, double retryAfterMs) {
+        Headers headers = Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER, "none");
         if (end != null) {
-            headers.add(DashViewerSide.OVER, end.wireName());
+            headers.add(DashRequestRouter.OVER, end.wireName());
         }
         write(exchange, status, type, headers, detail, retryAfterMs);
     }
--- a/front/src/main/java/spanrill/front/dash/Relay.java
+++ b/front/src/main/java/spanrill/front/dash/SegmentRelay.java
@@ -18,7 +18,7 @@
  * One segment from a box to a viewer. It waits while its session is on the move, asks anew when the box was
  * lost before the first byte went out, and holds the box back while the viewer reads slowly.
  */
-final class Relay implements SegmentSource.SegmentSink {
+final class SegmentRelay implements SegmentSource.SegmentSink {
     /** For what is the same at all rungs: initialization segments and audio. */
     static final int NO_RUNG = -1;
 
@@ -28,13 +28,13 @@
     private final Session session;
     private final int asked;
     private final String name;
-    private SegmentSource.Segment segment;
+    private spanrill.front.box.SegmentSource.SegmentTransfer segment;
     private String key;
     private int tries;
     private int servedRung;
     private String tag;
 
-    Relay(SessionCore core, SegmentSource boxes, Exchange exchange, Session session, int asked, String name) {
+    SegmentRelay(SessionCore core, SegmentSource boxes, Exchange exchange, Session session, int asked, String name) {
         this.core = core;
         this.boxes = boxes;
         this.exchange = exchange;
@@ -44,29 +44,29 @@
     }
 
     /** Begins, or goes on after a move. */
-    void run() {
+    void fetchSegment() {
         if (exchange.isEnded()) {
             return;
         }
         core.recordActivity(session);
         Phase phase = session.phase();
         if (phase == Phase.MOVING || phase == Phase.MOVING_SET_UP) {
-            session.onChange(this::run);
+            session.onChange(this::fetchSegment);
             return;
         }
         if (phase != Phase.PLAYING) {
-            over();
+            respondSessionEnded();
             return;
         }
-        exchange.onClosed(this::viewerGone);
-        exchange.onWritable(() -> reading(true));
+        exchange.onClosed(this::cancelTransfer);
+        exchange.onWritable(() -> setReading(true));
         int rung = asked == NO_RUNG
                 ? session.rung()
                 : RungLimiter.effectiveRung(
                         asked, session.rung(), session.type().floor());
         tag = "\"" + session.title().name() + "." + (asked == NO_RUNG ? "" : rung + ".") + name + "\"";
         if (tries == 0) {
-            told();
+            recordPlayerReport();
             if (exchange.head().headers().containsToken("if-none-match", tag)) {
                 // RFC 9110 section 13.1.2: media never changes, so the name of what would be served decides.
                 exchange.respond(304, Headers.of("etag", tag), new byte[0]);
@@ -76,12 +76,12 @@
         key = session.attemptKey();
         tries++;
         String path = asked == NO_RUNG ? name : rung + "/" + name;
-        segment = boxes.fetch(session.box(), key, path, range(), this);
+        segment = boxes.fetch(session.box(), key, path, supportedRange(), this);
         servedRung = rung;
     }
 
     /** What the player tells of itself is kept with its session. */
-    private void told() {
+    private void recordPlayerReport() {
         String query = exchange.head().queryParameter("CMCD");
         String text = query;
         if (text == null) {
@@ -95,30 +95,30 @@
         }
     }
 
-    private String range() {
+    private String supportedRange() {
         String range = exchange.head().headers().get("range");
         // RFC 9110 section 14.2: a range that isn't understood is passed over.
         return spanrill.wire.http.ByteRange.isSupported(range) ? range : null;
     }
 
-    private void over() {
+    private void respondSessionEnded() {
         SessionEnd end = session.endReason();
         if (end != null && end.retryAdvice() == SessionEnd.RetryAdvice.RETRY_LATER) {
-            Problem.over(
+            ProblemResponse.respondSessionEnded(
                     exchange, 503, "move-refused", "No box can go on with this session.", end, session.retryAfterMs());
         } else {
-            Problem.over(exchange, 410, "session-over", "The session is over.", end, 0);
+            ProblemResponse.respondSessionEnded(exchange, 410, "session-over", "The session is over.", end, 0);
         }
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         Headers headers = Headers.of(
                 "content-type",
                 "video/mp4",
                 "cache-control",
                 "no-store",
-                DashViewerSide.RUNG,
+                DashRequestRouter.RUNG,
                 Integer.toString(servedRung),
                 "etag",
                 tag);
@@ -130,29 +130,29 @@
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void onData(ByteBuf part) {
         core.recordActivity(session);
         exchange.write(part.retain());
         if (!exchange.isWritable()) {
-            reading(false);
+            setReading(false);
         }
     }
 
-    private void reading(boolean on) {
+    private void setReading(boolean on) {
         if (segment != null) {
-            segment.reading(on);
+            segment.setReading(on);
         }
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         segment = null;
         core.recordActivity(session);
         exchange.end();
     }
 
     @Override
-    public void lost(int status, String reason) {
+    public void onLost(int status, String reason) {
         segment = null;
         if (exchange.isEnded()) {
             return;
@@ -164,13 +164,16 @@
         switch (choice.action()) {
             case ABORT -> exchange.abort();
             case RANGE_NOT_SATISFIABLE -> exchange.respond(416, new Headers(), new byte[0]);
-            case GIVE_UP -> Problem.answer(exchange, 502, "segment-lost", "none", "The segment could not be had.", 0);
+            case GIVE_UP ->
+                ProblemResponse.respond(exchange, 502, "segment-lost", "none", "The segment could not be had.", 0);
             default ->
-                exchange.channel().eventLoop().schedule(this::run, (long) choice.retryDelayMs(), TimeUnit.MILLISECONDS);
+                exchange.channel()
+                        .eventLoop()
+                        .schedule(this::fetchSegment, (long) choice.retryDelayMs(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void viewerGone() {
+    private void cancelTransfer() {
         if (segment != null) {
             segment.cancel();
             segment = null;
--- a/front/src/main/java/spanrill/front/list/ListDocument.java
+++ b/front/src/main/java/spanrill/front/list/BoxListDocument.java
@@ -26,7 +26,7 @@
  * @param sheet the boxes
  * @param titles the catalogue, or null when it didn't come along
  */
-public record ListDocument(BoxDirectory.ListUpdate sheet, Map<String, Title> titles) {
+public record BoxListDocument(BoxDirectory.ListUpdate sheet, Map<String, Title> titles) {
     private static final ObjectMapper JSON = JsonMapper.builder(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
                             .maxNestingDepth(16)
@@ -40,30 +40,30 @@
     private static final double LONGEST_MS = 86_400_000;
 
     /** A list that can't be used, with the reason. */
-    public static final class Fault extends Exception {
+    public static final class InvalidListException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Fault(String reason) {
+        InvalidListException(String reason) {
             super(reason, null, false, false);
         }
     }
 
     /** Reads a list. */
-    public static ListDocument parse(byte[] json) throws Fault {
+    public static BoxListDocument parse(byte[] json) throws BoxListDocument.InvalidListException {
         JsonNode root;
         try {
             root = JSON.readTree(new String(json, java.nio.charset.StandardCharsets.UTF_8));
         } catch (JsonProcessingException e) {
-            throw new Fault("is no JSON");
+            throw new BoxListDocument.InvalidListException("is no JSON");
         }
         if (root == null || !root.isObject()) {
-            throw new Fault("is no JSON object");
+            throw new BoxListDocument.InvalidListException("is no JSON object");
         }
         ListKind kind =
                 switch (text(root, "kind")) {
                     case "whole" -> ListKind.WHOLE;
                     case "changes" -> ListKind.CHANGES;
-                    default -> throw new Fault("kind must be whole or changes");
+                    default -> throw new BoxListDocument.InvalidListException("kind must be whole or changes");
                 };
         List<Box> boxes = new ArrayList<>();
         for (JsonNode box : root.path("boxes")) {
@@ -76,7 +76,7 @@
                 titles.put(text(title, "name"), title(title));
             }
         }
-        return new ListDocument(
+        return new BoxListDocument(
                 new BoxDirectory.ListUpdate(
                         kind,
                         (long) number(root, "epoch", 0, 9e15),
@@ -86,14 +86,14 @@
                 titles);
     }
 
-    private static Title title(JsonNode node) throws Fault {
+    private static Title title(JsonNode node) throws BoxListDocument.InvalidListException {
         List<Long> segments = new ArrayList<>();
         if (node.path("segmentMs").isArray()) {
             for (JsonNode each : node.path("segmentMs")) {
                 segments.add((long) number(each, "segmentMs", 100, 60_000));
             }
             if (segments.isEmpty() || segments.size() > MOST_PATTERN) {
-                throw new Fault("segmentMs must have 1 to " + MOST_PATTERN + " lengths");
+                throw new BoxListDocument.InvalidListException("segmentMs must have 1 to " + MOST_PATTERN + " lengths");
             }
         } else {
             segments.add((long) number(node, "segmentMs", 100, 60_000));
@@ -109,13 +109,13 @@
                 node.has("lang") ? text(node, "lang") : null);
     }
 
-    private static Box box(JsonNode node) throws Fault {
+    private static Box box(JsonNode node) throws BoxListDocument.InvalidListException {
         ServerState state =
                 switch (text(node, "state")) {
                     case "ready" -> ServerState.READY;
                     case "draining" -> ServerState.DRAINING;
                     case "gone" -> ServerState.GONE;
-                    default -> throw new Fault("state must be ready, draining or gone");
+                    default -> throw new BoxListDocument.InvalidListException("state must be ready, draining or gone");
                 };
         double started = number(node, "startedAt", 0, 9e15);
         return new Box(
@@ -131,21 +131,22 @@
                 (int) number(node, "port", 1, 65_535));
     }
 
-    private static String text(JsonNode node, String name) throws Fault {
+    private static String text(JsonNode node, String name) throws BoxListDocument.InvalidListException {
         JsonNode value = node.get(name);
         if (value == null
                 || !value.isTextual()
                 || value.textValue().isEmpty()
                 || value.textValue().length() > 200) {
-            throw new Fault(name + " must be a text of 1 to 200 characters");
+            throw new BoxListDocument.InvalidListException(name + " must be a text of 1 to 200 characters");
         }
         return value.textValue();
     }
 
-    private static double number(JsonNode node, String name, double least, double most) throws Fault {
+    private static double number(JsonNode node, String name, double least, double most)
+            throws BoxListDocument.InvalidListException {
         JsonNode value = node.isValueNode() ? node : node.get(name);
         if (value == null || !value.isNumber() || !(value.doubleValue() >= least) || value.doubleValue() > most) {
-            throw new Fault(name + " must be a number from " + least + " to " + most);
+            throw new BoxListDocument.InvalidListException(name + " must be a number from " + least + " to " + most);
         }
         return value.doubleValue();
     }
--- a/front/src/main/java/spanrill/front/list/KeptList.java
+++ b/front/src/main/java/spanrill/front/list/BoxListFile.java
@@ -10,17 +10,17 @@
  * The last whole list in a file: written beside it and renamed, so that a kill leaves the old or the new
  * one.
  */
-public final class KeptList {
+public final class BoxListFile {
     private static final long MOST_BYTES = 16 << 20;
     private final Path file;
 
     /** Kept in this folder. */
-    public KeptList(Path folder) {
+    public BoxListFile(Path folder) {
         file = folder.resolve("boxes.json");
     }
 
     /** Keeps a list. */
-    public void keep(byte[] json) throws IOException {
+    public void write(byte[] json) throws IOException {
         Files.createDirectories(file.getParent());
         Path beside = file.resolveSibling("boxes.json.new");
         Files.write(beside, json);
--- a/front/src/main/java/spanrill/front/list/ListClient.java
+++ b/front/src/main/java/spanrill/front/list/RegistryClient.java
@@ -25,7 +25,7 @@
  * Long-polls the registry: {@code GET /boxes?front=N&epoch=E&version=V} is answered when there is something
  * newer, or 204 after the registry's own time. The module hears each list, and each call that failed.
  */
-public final class ListClient implements HttpClientConnection.Listener {
+public final class RegistryClient implements HttpClientConnection.Listener {
     private static final int MOST_BYTES = 16 << 20;
     private static final int CONNECT_MS = 1000;
     private static final long POLL_MS = 40_000;
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final SessionCore core;
     private final BoxDirectory book;
-    private final KeptList kept;
+    private final BoxListFile kept;
     private final Executor disk;
     private final Backoff backoff;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -44,8 +44,13 @@
     private boolean closed;
 
     /** A client that fills the book; the list is kept by {@code disk}, off the loop. */
-    public ListClient(
-            FrontSettings settings, EventLoop loop, SessionCore core, BoxDirectory book, KeptList kept, Executor disk) {
+    public RegistryClient(
+            FrontSettings settings,
+            EventLoop loop,
+            SessionCore core,
+            BoxDirectory book,
+            BoxListFile kept,
+            Executor disk) {
         this.settings = settings;
         this.loop = loop;
         this.core = core;
@@ -60,13 +65,13 @@
         try {
             byte[] json = kept.read();
             if (json != null) {
-                ListDocument document = ListDocument.parse(json);
+                BoxListDocument document = BoxListDocument.parse(json);
                 BoxDirectory.ListUpdate sheet = document.sheet();
-                tell(
+                applyUpdate(
                         new BoxDirectory.ListUpdate(ListKind.KEPT, sheet.epoch(), -1, sheet.version(), sheet.boxes()),
                         document);
             }
-        } catch (IOException | ListDocument.Fault e) {
+        } catch (IOException | spanrill.front.list.BoxListDocument.InvalidListException e) {
             EventLog.warn("list.kept.unusable", "reason", e.getMessage());
         }
         poll();
@@ -77,7 +82,7 @@
             return;
         }
         if (connection != null && connection.isAvailable()) {
-            ask();
+            sendPoll();
             return;
         }
         FrontSettings.Address at = settings.registry();
@@ -88,24 +93,24 @@
                 HttpLimits.CLIENT,
                 opened -> {
                     connection = opened;
-                    ask();
+                    sendPoll();
                 },
-                cause -> failed("can't connect"));
+                cause -> handleFailure("can't connect"));
     }
 
-    private void ask() {
+    private void sendPoll() {
         body.reset();
         late = loop.schedule(
                 () -> {
                     connection.abort();
-                    failed("no answer in time");
+                    handleFailure("no answer in time");
                 },
                 POLL_MS,
                 TimeUnit.MILLISECONDS);
         String target = "/boxes?front=" + settings.me() + "&epoch=" + book.epoch() + "&version=" + book.version();
         if (closed || !connection.send("GET", target, Headers.of("host", "registry"), new byte[0], this)) {
             late.cancel(false);
-            failed("the connection ended");
+            handleFailure("the connection ended");
         }
     }
 
@@ -119,7 +124,7 @@
         if (body.size() + part.readableBytes() > MOST_BYTES) {
             late.cancel(false);
             connection.abort();
-            failed("the list is larger than " + MOST_BYTES + " bytes");
+            handleFailure("the list is larger than " + MOST_BYTES + " bytes");
             return;
         }
         byte[] bytes = new byte[part.readableBytes()];
@@ -136,25 +141,25 @@
             return;
         }
         if (status != 200) {
-            failed("the registry answered " + status);
+            handleFailure("the registry answered " + status);
             return;
         }
         try {
             byte[] json = body.toByteArray();
-            ListDocument document = ListDocument.parse(json);
-            if (!tell(document.sheet(), document)) {
+            BoxListDocument document = BoxListDocument.parse(json);
+            if (!applyUpdate(document.sheet(), document)) {
                 EventLog.info("list.gap", "version", document.sheet().version());
             } else if (document.sheet().kind() == ListKind.WHOLE) {
-                disk.execute(() -> keep(json));
+                disk.execute(() -> saveList(json));
             }
             backoff.reset();
             poll();
-        } catch (ListDocument.Fault fault) {
-            failed("the list " + fault.getMessage());
+        } catch (spanrill.front.list.BoxListDocument.InvalidListException fault) {
+            handleFailure("the list " + fault.getMessage());
         }
     }
 
-    private boolean tell(BoxDirectory.ListUpdate sheet, ListDocument document) {
+    private boolean applyUpdate(BoxDirectory.ListUpdate sheet, BoxListDocument document) {
         List<Server> told = book.apply(sheet);
         if (told == null) {
             return false;
@@ -167,9 +172,9 @@
         return true;
     }
 
-    private void keep(byte[] json) {
+    private void saveList(byte[] json) {
         try {
-            kept.keep(json);
+            kept.write(json);
         } catch (IOException e) {
             EventLog.warn("list.kept.failed", "reason", e.getMessage());
         }
@@ -178,10 +183,10 @@
     @Override
     public void onFailure(HttpClientConnection.Failure loss, String reason) {
         late.cancel(false);
-        failed(reason);
+        handleFailure(reason);
     }
 
-    private void failed(String reason) {
+    private void handleFailure(String reason) {
         if (closed) {
             return;
         }
--- a/front/src/main/java/spanrill/front/store/TokenStore.java
+++ b/front/src/main/java/spanrill/front/store/TokenStore.java
@@ -29,15 +29,16 @@
     private static final double SLOW_MS = 100;
 
     /** A token as it was found at the start. */
-    public record Kept(SpentTokenStore.TokenState fate, double expiresAt) {}
+    public record StoredToken(SpentTokenStore.TokenState fate, double expiresAt) {}
 
-    private record Change(String token, SpentTokenStore.TokenState fate, double expiresAt, Consumer<Boolean> then) {}
+    private record PendingWrite(
+            String token, SpentTokenStore.TokenState fate, double expiresAt, Consumer<Boolean> then) {}
 
     private final MVStore store;
     private final MVMap<String, String> tokens;
     private final Executor loop;
-    private final BlockingQueue<Change> queue = new ArrayBlockingQueue<>(WAITING);
-    private final Thread writer = new Thread(this::write, "front-tokens");
+    private final BlockingQueue<TokenStore.PendingWrite> queue = new ArrayBlockingQueue<>(WAITING);
+    private final Thread writer = new Thread(this::runWriter, "front-tokens");
     private long sweptAt = System.currentTimeMillis();
     private volatile boolean closed;
 
@@ -71,13 +72,13 @@
     }
 
     /** What was kept from before. */
-    public Map<String, Kept> kept() {
-        Map<String, Kept> kept = new HashMap<>();
+    public Map<String, TokenStore.StoredToken> storedTokens() {
+        Map<String, TokenStore.StoredToken> kept = new HashMap<>();
         tokens.forEach((token, text) -> {
             int space = text.indexOf(' ');
             kept.put(
                     token,
-                    new Kept(
+                    new TokenStore.StoredToken(
                             SpentTokenStore.TokenState.valueOf(text.substring(0, space)),
                             Double.parseDouble(text.substring(space + 1))));
         });
@@ -86,7 +87,9 @@
 
     @Override
     public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then) {
-        if (closed || !queue.offer(new Change(tokenId, SpentTokenStore.TokenState.TAKEN, expiresAt, then))) {
+        if (closed
+                || !queue.offer(
+                        new TokenStore.PendingWrite(tokenId, SpentTokenStore.TokenState.TAKEN, expiresAt, then))) {
             then.accept(false);
         }
     }
@@ -94,15 +97,15 @@
     @Override
     public void recordState(String tokenId, SpentTokenStore.TokenState fate) {
         // One that is dropped stays TAKEN: read as failed after a kill, which is safe.
-        queue.offer(new Change(tokenId, fate, Double.NaN, null));
+        queue.offer(new TokenStore.PendingWrite(tokenId, fate, Double.NaN, null));
     }
 
-    private void write() {
-        List<Change> group = new ArrayList<>();
+    private void runWriter() {
+        List<TokenStore.PendingWrite> group = new ArrayList<>();
         while (!closed || !queue.isEmpty()) {
             group.clear();
             try {
-                Change first = queue.poll(50, TimeUnit.MILLISECONDS);
+                TokenStore.PendingWrite first = queue.poll(50, TimeUnit.MILLISECONDS);
                 if (first == null) {
                     continue;
                 }
@@ -112,7 +115,7 @@
                 return;
             }
             boolean safe = commit(group);
-            for (Change change : group) {
+            for (TokenStore.PendingWrite change : group) {
                 if (change.then() != null) {
                     loop.execute(() -> change.then().accept(safe));
                 }
@@ -120,13 +123,13 @@
         }
     }
 
-    private boolean commit(List<Change> group) {
+    private boolean commit(List<TokenStore.PendingWrite> group) {
         long begin = System.nanoTime();
         try {
-            for (Change change : group) {
+            for (TokenStore.PendingWrite change : group) {
                 apply(change);
             }
-            sweep();
+            removeExpired();
             store.commit();
             store.sync();
         } catch (MVStoreException e) {
@@ -140,7 +143,7 @@
         return true;
     }
 
-    private void apply(Change change) {
+    private void apply(TokenStore.PendingWrite change) {
         if (change.fate() == null) {
             tokens.remove(change.token());
         } else if (change.fate() == SpentTokenStore.TokenState.TAKEN) {
@@ -151,7 +154,7 @@
     }
 
     /** Forgets tokens that have expired: their date alone executor them away. */
-    private void sweep() {
+    private void removeExpired() {
         long now = System.currentTimeMillis();
         if (now - sweptAt >= SWEEP_MS) {
             sweptAt = now;
--- a/front/src/main/java/spanrill/front/token/TokenKeys.java
+++ b/front/src/main/java/spanrill/front/token/TokenKeys.java
@@ -38,7 +38,7 @@
     private record Key(JWSAlgorithm algorithm, JWSVerifier verifier) {}
 
     /** Claims whose signature was found right, by a key of the file. */
-    record Signed(JWTClaimsSet claims, Object key) {}
+    record VerifiedClaims(JWTClaimsSet claims, Object key) {}
 
     private final Path file;
     private final Set<String> classes;
@@ -75,7 +75,7 @@
                 if (read.size() >= MOST_KEYS) {
                     throw new IOException(file + ": has more than " + MOST_KEYS + " keys");
                 }
-                if (read.put(jwk.getKeyID(), key(jwk)) != null) {
+                if (read.put(jwk.getKeyID(), toKey(jwk)) != null) {
                     throw new IOException(file + ": kid " + jwk.getKeyID() + " is given twice");
                 }
             }
@@ -89,7 +89,7 @@
         return true;
     }
 
-    private Key key(JWK jwk) throws JOSEException, IOException {
+    private Key toKey(JWK jwk) throws JOSEException, IOException {
         if (jwk instanceof ECKey ec) {
             return new Key(JWSAlgorithm.ES256, new ECDSAVerifier(ec.toPublicJWK()));
         }
@@ -100,7 +100,7 @@
     }
 
     /** Ids of the keys in force. */
-    public Set<String> ids() {
+    public Set<String> keyIds() {
         return keys.keySet();
     }
 
@@ -111,8 +111,8 @@
      * @param title title that is asked for
      * @param nowS seconds since 1970
      */
-    public SessionToken verify(String text, String title, long nowS) throws TokenFault {
-        return check(verifySignature(text), title, nowS);
+    public SessionToken verify(String text, String title, long nowS) throws TokenRejectedException {
+        return validateClaims(verifySignature(text), title, nowS);
     }
 
     /**
@@ -131,81 +131,83 @@
     }
 
     /** True while the key that a signature was found right by is still in force. */
-    boolean inForce(Signed signed) {
+    boolean isActive(TokenKeys.VerifiedClaims signed) {
         return keys.containsValue(signed.key());
     }
 
     /** Verifies the signature alone. */
-    Signed verifySignature(String text) throws TokenFault {
+    TokenKeys.VerifiedClaims verifySignature(String text) throws TokenRejectedException {
         if (text == null || text.isEmpty()) {
-            throw new TokenFault(401, "no token");
+            throw new TokenRejectedException(401, "no token");
         }
         if (text.length() > MOST_CHARS) {
-            throw new TokenFault(401, "the token is longer than " + MOST_CHARS + " characters");
+            throw new TokenRejectedException(401, "the token is longer than " + MOST_CHARS + " characters");
         }
         try {
             SignedJWT jwt = SignedJWT.parse(text);
             Key key = keys.get(String.valueOf(jwt.getHeader().getKeyID()));
             if (key == null) {
-                throw new TokenFault(401, "the token's key is not known here");
+                throw new TokenRejectedException(401, "the token's key is not known here");
             }
             if (!key.algorithm().equals(jwt.getHeader().getAlgorithm())) {
-                throw new TokenFault(401, "the token's algorithm is not that of its key");
+                throw new TokenRejectedException(401, "the token's algorithm is not that of its key");
             }
             if (!jwt.verify(key.verifier())) {
-                throw new TokenFault(401, "the token's signature is wrong");
+                throw new TokenRejectedException(401, "the token's signature is wrong");
             }
-            return new Signed(jwt.getJWTClaimsSet(), key);
+            return new TokenKeys.VerifiedClaims(jwt.getJWTClaimsSet(), key);
         } catch (ParseException | JOSEException | IllegalArgumentException e) {
-            throw new TokenFault(401, "the token is no signed JWT");
+            throw new TokenRejectedException(401, "the token is no signed JWT");
         }
     }
 
     /** Looks at what a signed token says. */
-    SessionToken check(Signed signed, String title, long nowS) throws TokenFault {
+    SessionToken validateClaims(TokenKeys.VerifiedClaims signed, String title, long nowS)
+            throws TokenRejectedException {
         try {
-            return checked(signed.claims(), title, nowS);
+            return toSessionToken(signed.claims(), title, nowS);
         } catch (ParseException e) {
-            throw new TokenFault(401, "a claim of the token is of the wrong type");
+            throw new TokenRejectedException(401, "a claim of the token is of the wrong type");
         }
     }
 
-    private SessionToken checked(JWTClaimsSet claims, String title, long nowS) throws TokenFault, ParseException {
+    private SessionToken toSessionToken(JWTClaimsSet claims, String title, long nowS)
+            throws TokenRejectedException, ParseException {
         Date expires = claims.getExpirationTime();
         if (expires == null) {
-            throw new TokenFault(401, "the token has no expiry");
+            throw new TokenRejectedException(401, "the token has no expiry");
         }
         long expiresS = expires.getTime() / 1000;
         if (expiresS + SKEW_S <= nowS) {
-            throw new TokenFault(401, "the token has expired");
+            throw new TokenRejectedException(401, "the token has expired");
         }
         Date notBefore = claims.getNotBeforeTime();
         if (notBefore != null && notBefore.getTime() / 1000 > nowS + SKEW_S) {
-            throw new TokenFault(401, "the token is not valid yet");
+            throw new TokenRejectedException(401, "the token is not valid yet");
         }
-        String id = text(claims.getJWTID(), "jti");
-        String viewer = text(claims.getSubject(), "sub");
-        String className = text(claims.getStringClaim("class"), "class");
+        String id = requiredText(claims.getJWTID(), "jti");
+        String viewer = requiredText(claims.getSubject(), "sub");
+        String className = requiredText(claims.getStringClaim("class"), "class");
         String tenant = claims.getStringClaim("tenant");
         Integer top = claims.getIntegerClaim("top");
         if (!id.matches("[A-Za-z0-9._~-]{1,64}")) {
-            throw new TokenFault(401, "the token's jti has other signs than letters, digits and ._~-");
+            throw new TokenRejectedException(401, "the token's jti has other signs than letters, digits and ._~-");
         }
         if (!title.equals(claims.getStringClaim("title"))) {
-            throw new TokenFault(403, "the token is for another title");
+            throw new TokenRejectedException(403, "the token is for another title");
         }
         if (!classes.contains(className)) {
-            throw new TokenFault(403, "the token's class is not served here");
+            throw new TokenRejectedException(403, "the token's class is not served here");
         }
         if (top != null && top < 0) {
-            throw new TokenFault(403, "the token's top rung is below 0");
+            throw new TokenRejectedException(403, "the token's top rung is below 0");
         }
         return new SessionToken(id, title, className, tenant, viewer, top == null ? Integer.MAX_VALUE : top, expiresS);
     }
 
-    private static String text(String value, String claim) throws TokenFault {
+    private static String requiredText(String value, String claim) throws TokenRejectedException {
         if (value == null || value.isEmpty() || value.length() > MOST_TEXT) {
-            throw new TokenFault(401, "the token's " + claim + " is missing or too long");
+            throw new TokenRejectedException(401, "the token's " + claim + " is missing or too long");
         }
         return value;
     }
--- a/front/src/main/java/spanrill/front/token/TokenFault.java
+++ b/front/src/main/java/spanrill/front/token/TokenRejectedException.java
@@ -4,12 +4,12 @@
  * A token that gives no leave, with the status for it (401: not shown to be true, 403: true but no
  * leave).
  */
-public final class TokenFault extends Exception {
+public final class TokenRejectedException extends Exception {
     private static final long serialVersionUID = 1;
     private final int status;
 
     /** A fault with a plain reason that tells nothing secret. */
-    public TokenFault(int status, String reason) {
+    public TokenRejectedException(int status, String reason) {
         super(reason, null, false, false);
         this.status = status;
     }
--- a/front/src/main/java/spanrill/front/token/TokenGate.java
+++ b/front/src/main/java/spanrill/front/token/TokenVerifier.java
@@ -16,15 +16,15 @@
  * nothing; dates, title and class are looked at each time. Who waits and who is told that there is no room is
  * decided by a {@link AdmissionQueue}.
  */
-public final class TokenGate implements AutoCloseable {
+public final class TokenVerifier implements AutoCloseable {
     private static final int REMEMBERED = 20_000;
     private static final Duration REMEMBERED_FOR = Duration.ofMinutes(2);
     private static final double FIRST_GUESS_MS = 1;
 
     /** What came of a token: a session token, a fault, or neither when there was no room for it. */
-    public record Verdict(SessionToken token, TokenFault fault) {
+    public record VerificationResult(SessionToken token, TokenRejectedException fault) {
         /** True when it was not looked at: too many wait, or it can't be in time any more. */
-        public boolean noRoom() {
+        public boolean isShed() {
             return token == null && fault == null;
         }
     }
@@ -38,46 +38,49 @@
      * @param deadline when its viewer has no use for it any more, ms of the front's clock
      * @param worth what it is worth next to others
      */
-    public record Wish(String text, String title, long nowS, double deadline, double worth) {}
+    public record VerificationRequest(String text, String title, long nowS, double deadline, double worth) {}
 
-    private final class Waiting {
-        private final Wish wish;
+    private final class QueuedRequest {
+        private final TokenVerifier.VerificationRequest wish;
         private final Executor loop;
-        private final Consumer<Verdict> done;
+        private final Consumer<TokenVerifier.VerificationResult> done;
 
-        Waiting(Wish wish, Executor loop, Consumer<Verdict> done) {
+        QueuedRequest(
+                TokenVerifier.VerificationRequest wish,
+                Executor loop,
+                Consumer<TokenVerifier.VerificationResult> done) {
             this.wish = wish;
             this.loop = loop;
             this.done = done;
         }
 
-        void tell(Verdict verdict) {
+        void complete(TokenVerifier.VerificationResult verdict) {
             loop.execute(() -> done.accept(verdict));
         }
     }
 
     /** The clock that deadlines are told by. */
-    public interface Time {
+    public interface TimeSource {
         /** Now, ms. */
         double now();
     }
 
     private final TokenKeys keys;
-    private final Time time;
-    private final AdmissionQueue<Waiting> room;
+    private final TokenVerifier.TimeSource time;
+    private final AdmissionQueue<TokenVerifier.QueuedRequest> room;
     private final List<Thread> workers = new ArrayList<>();
-    private final Cache<String, TokenKeys.Signed> right = Caffeine.newBuilder()
+    private final Cache<String, spanrill.front.token.TokenKeys.VerifiedClaims> right = Caffeine.newBuilder()
             .maximumSize(REMEMBERED)
             .expireAfterWrite(REMEMBERED_FOR)
             .build();
 
     /** Verifies with so many threads; at most so many tokens wait. */
-    public TokenGate(TokenKeys keys, int threads, int waiting, Time time) {
+    public TokenVerifier(TokenKeys keys, int threads, int waiting, TokenVerifier.TimeSource time) {
         this.keys = keys;
         this.time = time;
         room = new AdmissionQueue<>(waiting, threads, FIRST_GUESS_MS);
         for (int i = 0; i < threads; i++) {
-            Thread thread = new Thread(this::work, "front-token-" + i);
+            Thread thread = new Thread(this::runWorker, "front-token-" + i);
             thread.setDaemon(true);
             workers.add(thread);
             thread.start();
@@ -90,19 +93,21 @@
      * @param loop runs {@code done}, unless the verdict is known within the call
      * @return leaves the queue when it is run: for a viewer who went away
      */
-    public Runnable verify(Wish wish, Executor loop, Consumer<Verdict> done) {
-        TokenKeys.Signed known = wish.text() == null ? null : right.getIfPresent(wish.text());
-        if (known != null && keys.inForce(known)) {
-            done.accept(judge(known, wish));
+    public Runnable verify(
+            TokenVerifier.VerificationRequest wish, Executor loop, Consumer<TokenVerifier.VerificationResult> done) {
+        spanrill.front.token.TokenKeys.VerifiedClaims known =
+                wish.text() == null ? null : right.getIfPresent(wish.text());
+        if (known != null && keys.isActive(known)) {
+            done.accept(validateClaims(known, wish));
             return () -> {};
         }
-        Waiting waiting = new Waiting(wish, loop, done);
-        List<Waiting> shed;
+        TokenVerifier.QueuedRequest waiting = new TokenVerifier.QueuedRequest(wish, loop, done);
+        List<TokenVerifier.QueuedRequest> shed;
         synchronized (room) {
             shed = room.enqueue(time.now(), waiting, wish.deadline(), wish.worth());
             room.notify();
         }
-        shed.forEach(each -> each.tell(new Verdict(null, null)));
+        shed.forEach(each -> each.complete(new TokenVerifier.VerificationResult(null, null)));
         return () -> {
             synchronized (room) {
                 room.cancel(waiting);
@@ -110,10 +115,10 @@
         };
     }
 
-    private void work() {
-        List<Waiting> shed = new ArrayList<>();
+    private void runWorker() {
+        List<TokenVerifier.QueuedRequest> shed = new ArrayList<>();
         while (!Thread.currentThread().isInterrupted()) {
-            Waiting next;
+            TokenVerifier.QueuedRequest next;
             synchronized (room) {
                 next = room.poll(time.now(), shed);
                 if (next == null && shed.isEmpty()) {
@@ -124,11 +129,11 @@
                     }
                 }
             }
-            shed.forEach(each -> each.tell(new Verdict(null, null)));
+            shed.forEach(each -> each.complete(new TokenVerifier.VerificationResult(null, null)));
             shed.clear();
             if (next != null) {
                 double begin = time.now();
-                next.tell(look(next.wish));
+                next.complete(verifySignature(next.wish));
                 synchronized (room) {
                     room.recordServiceTime(time.now() - begin);
                 }
@@ -136,24 +141,26 @@
         }
     }
 
-    private Verdict look(Wish wish) {
+    private TokenVerifier.VerificationResult verifySignature(TokenVerifier.VerificationRequest wish) {
         try {
-            TokenKeys.Signed signed = keys.verifySignature(wish.text());
+            spanrill.front.token.TokenKeys.VerifiedClaims signed = keys.verifySignature(wish.text());
             right.put(wish.text(), signed);
-            return judge(signed, wish);
-        } catch (TokenFault fault) {
-            return new Verdict(null, fault);
+            return validateClaims(signed, wish);
+        } catch (TokenRejectedException fault) {
+            return new TokenVerifier.VerificationResult(null, fault);
         } catch (RuntimeException e) {
             // A library's fault over strange bytes must still be an answer.
-            return new Verdict(null, new TokenFault(401, "the token can't be read"));
+            return new TokenVerifier.VerificationResult(
+                    null, new TokenRejectedException(401, "the token can't be read"));
         }
     }
 
-    private Verdict judge(TokenKeys.Signed signed, Wish wish) {
+    private TokenVerifier.VerificationResult validateClaims(
+            spanrill.front.token.TokenKeys.VerifiedClaims signed, TokenVerifier.VerificationRequest wish) {
         try {
-            return new Verdict(keys.check(signed, wish.title(), wish.nowS()), null);
-        } catch (TokenFault fault) {
-            return new Verdict(null, fault);
+            return new TokenVerifier.VerificationResult(keys.validateClaims(signed, wish.title(), wish.nowS()), null);
+        } catch (TokenRejectedException fault) {
+            return new TokenVerifier.VerificationResult(null, fault);
         }
     }
 
--- a/front/src/test/java/spanrill/front/TokenKeysTest.java
+++ b/front/src/test/java/spanrill/front/TokenKeysTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import spanrill.front.token.SessionToken;
-import spanrill.front.token.TokenFault;
 import spanrill.front.token.TokenKeys;
+import spanrill.front.token.TokenRejectedException;
 
 class TokenKeysTest {
     private static final long NOW = 1_800_000_000L;
@@ -70,7 +70,8 @@
     }
 
     private void refused(int status, String reason, String token) {
-        TokenFault fault = assertThrows(TokenFault.class, () -> keys.verify(token, "derby", NOW));
+        TokenRejectedException fault =
+                assertThrows(TokenRejectedException.class, () -> keys.verify(token, "derby", NOW));
         assertEquals(status, fault.status(), fault.getMessage());
         assertTrue(fault.getMessage().contains(reason), fault.getMessage());
     }
@@ -136,14 +137,14 @@
         Files.writeString(file, new JWKSet(ec.toPublicJWK()).toString(false));
         Files.setLastModifiedTime(file, FileTime.fromMillis(1));
         assertTrue(keys.reload());
-        assertEquals(Set.of("ec2"), keys.ids());
+        assertEquals(Set.of("ec2"), keys.keyIds());
         refused(401, "not known", old);
         int at = 2;
         for (String bad : new String[] {"{", "{\"keys\":[]}", "{\"keys\":[{\"kty\":\"oct\",\"k\":\"AA\"}]}"}) {
             Files.writeString(file, bad);
             Files.setLastModifiedTime(file, FileTime.fromMillis(at++));
             assertThrows(IOException.class, keys::reload);
-            assertEquals(Set.of("ec2"), keys.ids());
+            assertEquals(Set.of("ec2"), keys.keyIds());
         }
     }
 }
--- a/front/src/test/java/spanrill/front/TokenStoreTest.java
+++ b/front/src/test/java/spanrill/front/TokenStoreTest.java
@@ -51,8 +51,10 @@
             store.recordState("c", null);
             take(store, "e");
             try (TokenStore copy = TokenStore.open(copy("killed"), Runnable::run)) {
-                Map<String, TokenStore.Kept> kept = copy.kept();
-                assertEquals(new TokenStore.Kept(SpentTokenStore.TokenState.TAKEN, LATER), kept.get("a"));
+                Map<String, spanrill.front.store.TokenStore.StoredToken> kept = copy.storedTokens();
+                assertEquals(
+                        new spanrill.front.store.TokenStore.StoredToken(SpentTokenStore.TokenState.TAKEN, LATER),
+                        kept.get("a"));
                 assertEquals(SpentTokenStore.TokenState.USED, kept.get("b").fate());
                 assertTrue(!kept.containsKey("c"));
                 assertEquals(4, kept.size());
@@ -93,8 +95,9 @@
             Path at = Files.createDirectories(folder.resolve("cut" + cut));
             Files.write(at.resolve("tokens.mv"), Arrays.copyOf(whole, cut));
             try (TokenStore store = TokenStore.open(at, Runnable::run)) {
-                TokenStore.Kept taken = new TokenStore.Kept(SpentTokenStore.TokenState.TAKEN, LATER);
-                store.kept().values().forEach(kept -> assertEquals(taken, kept));
+                spanrill.front.store.TokenStore.StoredToken taken =
+                        new spanrill.front.store.TokenStore.StoredToken(SpentTokenStore.TokenState.TAKEN, LATER);
+                store.storedTokens().values().forEach(kept -> assertEquals(taken, kept));
                 opened++;
             } catch (IOException told) {
                 assertTrue(told.getMessage().contains("tokens.mv"), told.getMessage());
