--- a/bench-jmh/src/main/java/spanrill/bench/LinkNetworkBench.java
+++ b/bench-jmh/src/main/java/spanrill/bench/LinkNetworkBench.java
@@ -47,9 +47,9 @@
             network.addBox(rack, 1L << 40);
         }
         for (int i = 0; i < sessions; i++) {
-            network.join(0, i % BOXES, 1000);
+            network.addFlow(0, i % BOXES, 1000);
         }
-        flow = network.join(0, 0, 1000);
+        flow = network.addFlow(0, 0, 1000);
     }
 
     /** One session's rate changes, and its share is read. */
@@ -57,7 +57,7 @@
     public double change() {
         now += 1;
         rate = rate == 1000 ? 2000 : 1000;
-        network.rate(now, flow, rate);
+        network.setRate(now, flow, rate);
         return network.share(0);
     }
 }
--- a/cli/src/main/java/spanrill/cli/FrontProcesses.java
+++ b/cli/src/main/java/spanrill/cli/FrontProcesses.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeoutException;
 import spanrill.check.EventRecorder;
 import spanrill.check.TraceEvent;
-import spanrill.model.player.FrontChoice;
+import spanrill.model.player.FrontSelector;
 import spanrill.standin.trouble.Fronts;
 import spanrill.standin.viewer.FrontDoor;
 
@@ -50,7 +50,7 @@
     private final Config config;
     private final Path folder;
     private final EventRecorder tap;
-    private final FrontChoice choice;
+    private final FrontSelector choice;
     // Starting and killing processes takes its time; the loops must not wait for it.
     private final ExecutorService worker = Executors.newCachedThreadPool();
 
@@ -58,7 +58,7 @@
         for (int i = 0; i < count; i++) {
             fronts.add(new Front());
         }
-        choice = new FrontChoice(count, zones, noticeMs.get(0), noticeMs.get(1));
+        choice = new FrontSelector(count, zones, noticeMs.get(0), noticeMs.get(1));
         this.config = config;
         this.folder = folder;
         this.tap = tap;
@@ -120,7 +120,7 @@
                     out.flush();
                     JsonNode event = json.readTree(line);
                     front.port = event.path("port").asInt();
-                    choice.up(number);
+                    choice.markUp(number);
                     front.cpuAtStart = process.info().totalCpuDuration().orElse(Duration.ZERO);
                     tap.record(new TraceEvent.FrontStarted(tap.nowMs(), number));
                     front.listening.complete(front.port);
@@ -146,7 +146,7 @@
         front.cpu = front.cpuAtStart = Duration.ZERO;
         // Recorded first: what it could not answer any more is excused from here on.
         tap.record(new TraceEvent.FrontStopped(tap.nowMs(), number));
-        choice.down(tap.nowMs(), number);
+        choice.markDown(tap.nowMs(), number);
         front.process.destroyForcibly();
     }
 
@@ -224,7 +224,7 @@
 
     @Override
     public int pick(int hall, double draw) {
-        return choice.pick(tap.nowMs(), hall, draw);
+        return choice.select(tap.nowMs(), hall, draw);
     }
 
     @Override
--- a/cli/src/main/java/spanrill/cli/HealedHall.java
+++ b/cli/src/main/java/spanrill/cli/HealedHall.java
@@ -28,7 +28,7 @@
     static List<HealedHall> of(List<TraceEvent> events, List<Effect> effects, double began, Day day) {
         List<HealedHall> all = new ArrayList<>();
         for (Effect effect : effects) {
-            if (effect instanceof Effect.HallCut cut && !cut.on()) {
+            if (effect instanceof Effect.HallIsolation cut && !cut.isolated()) {
                 all.add(of(events, began + cut.atMs(), cut.hall(), day));
             }
         }
--- a/cli/src/main/java/spanrill/cli/ModelCommand.java
+++ b/cli/src/main/java/spanrill/cli/ModelCommand.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Spec;
 import spanrill.day.Arrival;
 import spanrill.day.Day;
+import spanrill.day.DayPlan;
 import spanrill.day.Forecast;
-import spanrill.day.Plan;
 import spanrill.settings.Settings;
 
 /** The model of a day. */
@@ -70,10 +70,10 @@
             }
             long by = seed == null ? day.seed() : seed;
             PrintWriter out = spec.commandLine().getOut();
-            Plan plan = new Plan(day, by);
+            DayPlan plan = new DayPlan(day, by);
             crowd(out, day, plan.arrivals());
             troubles(out, day, plan);
-            fleet(out, Forecast.of(day, by, stepS * 1000));
+            fleet(out, Forecast.compute(day, by, stepS * 1000));
             out.flush();
             return Exit.HELD;
         }
@@ -90,7 +90,7 @@
                     day.fronts());
             Map<String, long[]> classes = new TreeMap<>();
             for (Arrival arrival : arrivals) {
-                long[] sums = classes.computeIfAbsent(arrival.traits().cls(), k -> new long[2]);
+                long[] sums = classes.computeIfAbsent(arrival.traits().serviceClass(), k -> new long[2]);
                 sums[0]++;
                 sums[1] += Math.round(arrival.traits().watchMs());
             }
@@ -98,10 +98,10 @@
                     Locale.ROOT, "  %-16s %6d, mean session %.1f s%n", cls, sums[0], sums[1] / 1000.0 / sums[0]));
         }
 
-        private static void troubles(PrintWriter out, Day day, Plan plan) {
+        private static void troubles(PrintWriter out, Day day, DayPlan plan) {
             for (int i = 0; i < day.troubles().size(); i++) {
                 Day.Trouble trouble = day.troubles().get(i);
-                long on = plan.firstActsOn(i);
+                long on = plan.initialTargetCount(i);
                 out.printf(
                         Locale.ROOT,
                         "  %5.0f s  %-16s for %3.0f s%s%n",
@@ -133,30 +133,30 @@
                     "through",
                     "fronts");
             for (Forecast.Step step : forecast.steps()) {
-                String not = step.placesUse() > 1 ? "  too few places" : "";
-                not += step.floorUse() > 1 ? "  even floors don't fit" : "";
+                String not = step.placeUtilization() > 1 ? "  too few places" : "";
+                not += step.floorUtilization() > 1 ? "  even floors don't fit" : "";
                 out.printf(
                         Locale.ROOT,
                         "%8.0f %7.1f %9d %7.0f %10.1f %9.1f %10.1f %9.1f %7d%s%n",
                         step.fromMs() / 1000,
-                        step.perS(),
+                        step.arrivalsPerS(),
                         step.sessions(),
                         step.places(),
-                        step.floorKb() / 1000,
-                        step.topKb() / 1000,
-                        step.linksKb() / 1000,
-                        step.uplinksKb() / 1000,
+                        step.floorKbytesPerS() / 1000,
+                        step.topKbytesPerS() / 1000,
+                        step.linksKbytesPerS() / 1000,
+                        step.uplinksKbytesPerS() / 1000,
                         step.frontsUp(),
                         not);
             }
-            Forecast.Hot hot = forecast.hottest();
+            Forecast.HottestTitle hot = forecast.hottest();
             out.printf(
                     Locale.ROOT,
                     "%ntitle %d is wanted most: by %.0f%% of the viewers, by %d at once; its "
                             + "holders have %.0f places%n",
                     hot.title(),
                     hot.share() * 100,
-                    hot.most(),
+                    hot.maxSessions(),
                     hot.places());
         }
     }
--- a/cli/src/main/java/spanrill/cli/Rehearsal.java
+++ b/cli/src/main/java/spanrill/cli/Rehearsal.java
@@ -18,9 +18,9 @@
 import spanrill.check.EventRecorder;
 import spanrill.check.TraceEvent;
 import spanrill.day.Day;
-import spanrill.day.Plan;
+import spanrill.day.DayPlan;
 import spanrill.emulator.Emulator;
-import spanrill.model.hall.HallWatch;
+import spanrill.model.hall.HallHealNotifier;
 import spanrill.results.CountRow;
 import spanrill.results.EndRow;
 import spanrill.results.ParquetRows;
@@ -87,8 +87,8 @@
             try (FrontProcesses fronts = new FrontProcesses(
                     day.fronts(), day.zones().size(), day.viewers().frontNoticeMs(), config, folder, tap)) {
                 fronts.startAll();
-                Plan plan = new Plan(day, seed);
-                HallWatch watch = new HallWatch(day.zones().size());
+                DayPlan plan = new DayPlan(day, seed);
+                HallHealNotifier watch = new HallHealNotifier(day.zones().size());
                 Crowd crowd = new Crowd(
                         new Stage(
                                 day,
--- a/cli/src/test/java/spanrill/cli/RehearseTest.java
+++ b/cli/src/test/java/spanrill/cli/RehearseTest.java
@@ -107,7 +107,10 @@
         assertEquals(
                 List.of(new HealedHall("east-hall", 3, 400, 1, 1, 1)),
                 HealedHall.of(
-                        events, List.of(new Effect.HallCut(500, 1, true), new Effect.HallCut(950, 1, false)), 50, day));
+                        events,
+                        List.of(new Effect.HallIsolation(500, 1, true), new Effect.HallIsolation(950, 1, false)),
+                        50,
+                        day));
     }
 
     /** A front in the emulator starts with the very settings that a front process of a rehearsal reads. */
@@ -121,7 +124,7 @@
             FrontConfig.write(
                     file,
                     day,
-                    fleet.boxes().stream().map(FleetPlan.Box::linkKb).toList(),
+                    fleet.boxes().stream().map(FleetPlan.Box::linkKbytesPerS).toList(),
                     1,
                     0,
                     1,
--- a/day/src/main/java/spanrill/day/Arrival.java
+++ b/day/src/main/java/spanrill/day/Arrival.java
@@ -1,6 +1,6 @@
 package spanrill.day;
 
-import spanrill.model.player.Traits;
+import spanrill.model.player.ViewerTraits;
 
 /**
  * A viewer who comes.
@@ -9,4 +9,4 @@
  * @param number from 0
  * @param traits what it is like
  */
-public record Arrival(double atMs, int number, Traits traits) {}
+public record Arrival(double atMs, int number, ViewerTraits traits) {}
--- a/day/src/main/java/spanrill/day/Day.java
+++ b/day/src/main/java/spanrill/day/Day.java
@@ -94,7 +94,7 @@
             @Default("[]") @Range(max = 1000) List<Long> patternMs,
             @Default("0") @Range(min = 0, max = 1e6) double audioKb) {
         /** Lengths of segments in turn. */
-        public List<Long> lengthsMs() {
+        public List<Long> segmentLengthsMs() {
             return patternMs.isEmpty() ? List.of(segmentMs) : patternMs;
         }
 
--- a/day/src/main/java/spanrill/day/Plan.java
+++ b/day/src/main/java/spanrill/day/DayPlan.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import spanrill.model.Draws;
-import spanrill.model.crowd.Arrivals;
-import spanrill.model.crowd.Rate;
-import spanrill.model.crowd.Titles;
-import spanrill.model.player.Traits;
+import spanrill.model.RandomStreams;
+import spanrill.model.crowd.ArrivalRate;
+import spanrill.model.crowd.PoissonArrivals;
+import spanrill.model.crowd.TitleSampler;
+import spanrill.model.player.ViewerTraits;
 import spanrill.model.trouble.Effect;
 import spanrill.model.trouble.Kind;
 import spanrill.model.trouble.Trouble;
@@ -19,19 +19,19 @@
  * Draws a day's titles, viewers and effects of troubles from its seed: the same day and seed, the same
  * plan.
  */
-public final class Plan {
+public final class DayPlan {
     private final Day day;
     private final long seed;
 
     /** A plan of a day, by a seed that may be another than the day's own. */
-    public Plan(Day day, long seed) {
+    public DayPlan(Day day, long seed) {
         this.day = day;
         this.seed = seed;
     }
 
     /** First cell and copies of each title. */
-    public List<int[]> placement() {
-        UniformRandomProvider random = Draws.of(seed, "placement");
+    public List<int[]> titlePlacements() {
+        UniformRandomProvider random = RandomStreams.of(seed, "placement");
         List<int[]> placed = new ArrayList<>();
         for (int i = 0; i < day.titles().count(); i++) {
             int from = day.titles().copies().get(0);
@@ -50,15 +50,15 @@
         List<Trouble> troubles = day.troubles().subList(0, first).stream()
                 .map(t -> new Trouble(t.kind(), t.atMs(), t.forMs(), t.part()))
                 .toList();
-        return TroublePlan.of(
+        return TroublePlan.computeEffects(
                 troubles,
-                new TroublePlan.Fleet(
+                new TroublePlan.FleetSize(
                         day.boxes().count(), day.boxes().racks(), day.zones().size(), day.fronts()),
                 seed);
     }
 
     /** On how many boxes, racks, halls or fronts a trouble acts when it begins. */
-    public long firstActsOn(int trouble) {
+    public long initialTargetCount(int trouble) {
         double at = day.troubles().get(trouble).atMs();
         return effects(trouble + 1).stream().filter(e -> e.atMs() == at).count()
                 - effects(trouble).stream().filter(e -> e.atMs() == at).count();
@@ -72,25 +72,26 @@
                 all,
                 "arrivals",
                 ordinary.shape() == Day.Shape.WAVE
-                        ? Rate.wave(ordinary.perS(), ordinary.swing(), ordinary.waveMs())
-                        : Rate.steady(ordinary.perS()),
+                        ? ArrivalRate.wave(ordinary.perS(), ordinary.swing(), ordinary.waveMs())
+                        : ArrivalRate.constant(ordinary.perS()),
                 -1);
         for (int i = 0; i < day.troubles().size(); i++) {
             Day.Trouble trouble = day.troubles().get(i);
             if (trouble.kind() == Kind.BURST || trouble.kind() == Kind.HOT_KEY) {
                 int hot = trouble.kind() == Kind.HOT_KEY
-                        ? Draws.of(seed, "hot" + i).nextInt(day.titles().count())
+                        ? RandomStreams.of(seed, "hot" + i).nextInt(day.titles().count())
                         : -1;
                 crowd(
                         all,
                         "crowd" + i,
-                        Rate.burst(ordinary.perS() * trouble.part(), trouble.atMs(), trouble.atMs() + trouble.forMs()),
+                        ArrivalRate.burst(
+                                ordinary.perS() * trouble.part(), trouble.atMs(), trouble.atMs() + trouble.forMs()),
                         hot);
             }
         }
         for (int i = 0; i < day.flashes().size(); i++) {
             Day.Flash flash = day.flashes().get(i);
-            crowd(all, "flash" + i, Rate.flashCrowd(flash.perS(), flash.atMs(), flash.fadeMs()), flash.title());
+            crowd(all, "flash" + i, ArrivalRate.flashCrowd(flash.perS(), flash.atMs(), flash.fadeMs()), flash.title());
         }
         all.sort(Comparator.comparingDouble(Arrival::atMs));
         List<Arrival> numbered = new ArrayList<>(all.size());
@@ -99,18 +100,18 @@
     }
 
     /** Adds a crowd; {@code title} -1: each for a title of its own choice. */
-    private void crowd(List<Arrival> all, String purpose, Rate rate, int title) {
-        UniformRandomProvider random = Draws.of(seed, purpose);
-        Titles titles = new Titles(
-                Draws.of(seed, purpose + " titles"),
+    private void crowd(List<Arrival> all, String purpose, ArrivalRate rate, int title) {
+        UniformRandomProvider random = RandomStreams.of(seed, purpose);
+        TitleSampler titles = new TitleSampler(
+                RandomStreams.of(seed, purpose + " titles"),
                 day.titles().count(),
                 day.titles().zipf());
-        for (double at : Arrivals.times(random, rate, 0, day.lengthMs())) {
-            all.add(new Arrival(at, 0, traits(random, title < 0 ? titles.next() : title)));
+        for (double at : PoissonArrivals.times(random, rate, 0, day.lengthMs())) {
+            all.add(new Arrival(at, 0, traits(random, title < 0 ? titles.sample() : title)));
         }
     }
 
-    private Traits traits(UniformRandomProvider random, int title) {
+    private ViewerTraits traits(UniformRandomProvider random, int title) {
         double draw = random.nextDouble();
         String cls = null;
         for (Map.Entry<String, Day.DayClass> entry : day.classes().entrySet()) {
@@ -125,11 +126,11 @@
         int highest = day.ladder().kb().size() - 1;
         int top = random.nextDouble() < who.low() ? Math.max(type.floor(), highest / 2) : highest;
         double leaves = random.nextDouble() < who.leaves() ? 5 + random.nextDouble() * 400 : -1;
-        return new Traits(
+        return new ViewerTraits(
                 cls,
                 title,
                 random.nextInt(day.zones().size()),
-                Draws.between(random, type.sessionMs()),
+                RandomStreams.uniform(random, type.sessionMs()),
                 top,
                 type.patienceMs(),
                 leaves,
--- a/day/src/main/java/spanrill/day/FleetPlan.java
+++ b/day/src/main/java/spanrill/day/FleetPlan.java
@@ -3,29 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
 
 /**
  * The fleet that a day's seed draws. The rack of a box is its cell mod the number of racks, and a rack stands
  * in one hall.
  *
  * @param boxes by cell
- * @param uplinksKb uplink of each rack, kB a second, without troubles
+ * @param uplinksKbytesPerS uplink of each rack, kB a second, without troubles
  */
-public record FleetPlan(List<Box> boxes, List<Double> uplinksKb) {
+public record FleetPlan(List<Box> boxes, List<Double> uplinksKbytesPerS) {
     /**
      * A box.
      *
      * @param id its name
      * @param cell its cell, also its number
      * @param zone hall that it stands in
-     * @param linkKb its link, kB a second, without troubles
+     * @param linkKbytesPerS its link, kB a second, without troubles
      */
-    public record Box(String id, int cell, int rack, String zone, double linkKb) {}
+    public record Box(String id, int cell, int rack, String zone, double linkKbytesPerS) {}
 
     /** The fleet of a day; the same day and seed, the same fleet. */
     public static FleetPlan of(Day day, long seed) {
-        UniformRandomProvider random = Draws.of(seed, "fleet");
+        UniformRandomProvider random = RandomStreams.of(seed, "fleet");
         Day.Boxes all = day.boxes();
         double[] rackLinks = new double[all.racks()];
         List<Box> boxes = new ArrayList<>();
@@ -44,7 +44,7 @@
     }
 
     /** All links together, kB a second. */
-    public double linksKb() {
-        return boxes.stream().mapToDouble(Box::linkKb).sum();
+    public double totalLinkKbytesPerS() {
+        return boxes.stream().mapToDouble(Box::linkKbytesPerS).sum();
     }
 }
--- a/day/src/main/java/spanrill/day/Forecast.java
+++ b/day/src/main/java/spanrill/day/Forecast.java
@@ -14,40 +14,42 @@
  * @param steps one for each {@code stepMs} of the day
  * @param hottest the title that is asked for most
  */
-public record Forecast(double stepMs, List<Step> steps, Hot hottest) {
+public record Forecast(double stepMs, List<Step> steps, HottestTitle hottest) {
     /**
      * One step of the day: the mean over it for arrivals, the state at its end for what is wanted, and the
      * least over it for what is given.
      *
      * @param fromMs when it begins
-     * @param perS viewers who come, a second
+     * @param arrivalsPerS viewers who come, a second
      * @param sessions sessions wanted at once
-     * @param floorKb their rates at their floors, kB a second
-     * @param topKb their rates at the highest rungs that they can use
+     * @param floorKbytesPerS their rates at their floors, kB a second
+     * @param topKbytesPerS their rates at the highest rungs that they can use
      * @param places streams that boxes which run can hold
-     * @param linksKb what their links give
-     * @param uplinksKb what racks let through: their uplinks, or less where their boxes' links give less
+     * @param linksKbytesPerS what their links give
+     * @param uplinksKbytesPerS what racks let through: their uplinks, or less where their boxes' links give less
      * @param frontsUp fronts that run
      */
     public record Step(
             double fromMs,
-            double perS,
+            double arrivalsPerS,
             int sessions,
-            double floorKb,
-            double topKb,
+            double floorKbytesPerS,
+            double topKbytesPerS,
             double places,
-            double linksKb,
-            double uplinksKb,
+            double linksKbytesPerS,
+            double uplinksKbytesPerS,
             int frontsUp) {
         /**
          * What is asked at the floor over what gets through; above 1 some must be refused, whatever is done.
          */
-        public double floorUse() {
-            return uplinksKb > 0 ? floorKb / uplinksKb : sessions > 0 ? Double.POSITIVE_INFINITY : 0;
+        public double floorUtilization() {
+            return uplinksKbytesPerS > 0
+                    ? floorKbytesPerS / uplinksKbytesPerS
+                    : sessions > 0 ? Double.POSITIVE_INFINITY : 0;
         }
 
         /** Sessions wanted over places. */
-        public double placesUse() {
+        public double placeUtilization() {
             return places > 0 ? sessions / places : sessions > 0 ? Double.POSITIVE_INFINITY : 0;
         }
     }
@@ -57,14 +59,14 @@
      *
      * @param title its number
      * @param share of all who come
-     * @param most sessions of it wanted at once, at most
+     * @param maxSessions sessions of it wanted at once, at most
      * @param places streams that its holders can hold together
      */
-    public record Hot(int title, double share, int most, double places) {}
+    public record HottestTitle(int title, double share, int maxSessions, double places) {}
 
     /** Works a day out. */
-    public static Forecast of(Day day, long seed, double stepMs) {
-        Plan plan = new Plan(day, seed);
+    public static Forecast compute(Day day, long seed, double stepMs) {
+        DayPlan plan = new DayPlan(day, seed);
         List<Arrival> arrivals = plan.arrivals();
         Fleet fleet = new Fleet(day, FleetPlan.of(day, seed));
         List<Effect> effects = plan.effects();
@@ -87,11 +89,11 @@
             for (Arrival arrival : arrivals) {
                 double at = arrival.atMs();
                 if (at < to && at + arrival.traits().watchMs() >= to) {
-                    Day.DayClass type = day.classes().get(arrival.traits().cls());
+                    Day.DayClass type = day.classes().get(arrival.traits().serviceClass());
                     sessions++;
                     floor += day.ladder().kb().get(type.floor()) * type.scale();
                     int highest = Math.min(
-                            arrival.traits().top(),
+                            arrival.traits().topRung(),
                             Math.min(type.top(), day.ladder().kb().size() - 1));
                     top += day.ladder().kb().get(highest) * type.scale();
                 }
@@ -113,7 +115,7 @@
         return new Forecast(stepMs, steps, hottest(day, plan, arrivals));
     }
 
-    private static Hot hottest(Day day, Plan plan, List<Arrival> arrivals) {
+    private static HottestTitle hottest(Day day, DayPlan plan, List<Arrival> arrivals) {
         int[] asked = new int[day.titles().count()];
         arrivals.forEach(a -> asked[a.traits().title()]++);
         int hot = 0;
@@ -135,11 +137,11 @@
             now += (int) change[1];
             most = Math.max(most, now);
         }
-        return new Hot(
+        return new HottestTitle(
                 title,
                 arrivals.isEmpty() ? 0 : (double) asked[title] / arrivals.size(),
                 most,
-                plan.placement().get(title)[1] * day.boxes().places());
+                plan.titlePlacements().get(title)[1] * day.boxes().places());
     }
 
     /** What a fleet gives at a time. */
@@ -166,28 +168,28 @@
             this.day = day;
             this.plan = plan;
             linkShare = new double[plan.boxes().size()];
-            uplinkShare = new double[plan.uplinksKb().size()];
+            uplinkShare = new double[plan.uplinksKbytesPerS().size()];
             Arrays.fill(linkShare, 1);
             Arrays.fill(uplinkShare, 1);
         }
 
         void take(Effect effect) {
-            if (effect instanceof Effect.BoxDies e) {
+            if (effect instanceof Effect.BoxStops e) {
                 boxesDown.add(e.box());
-            } else if (effect instanceof Effect.BoxMute e) {
+            } else if (effect instanceof Effect.BoxHangs e) {
                 boxesDown.add(e.box());
             } else if (effect instanceof Effect.BoxStarts e) {
                 boxesDown.remove(e.box());
-            } else if (effect instanceof Effect.BoxLink e) {
+            } else if (effect instanceof Effect.BoxLinkShare e) {
                 linkShare[e.box()] = e.share();
-            } else if (effect instanceof Effect.RackUplink e) {
+            } else if (effect instanceof Effect.RackUplinkShare e) {
                 uplinkShare[e.rack()] = e.share();
-            } else if (effect instanceof Effect.FrontDies e) {
+            } else if (effect instanceof Effect.FrontStops e) {
                 frontsDown.add(e.front());
             } else if (effect instanceof Effect.FrontStarts e) {
                 frontsDown.remove(e.front());
-            } else if (effect instanceof Effect.FrontStalls e) {
-                if (e.on()) {
+            } else if (effect instanceof Effect.FrontPause e) {
+                if (e.paused()) {
                     frontsDown.add(e.front());
                 } else {
                     frontsDown.remove(e.front());
@@ -207,7 +209,7 @@
             double[] racks = new double[uplinkShare.length];
             for (FleetPlan.Box box : plan.boxes()) {
                 if (!boxesDown.contains(box.cell())) {
-                    racks[box.rack()] += box.linkKb() * linkShare[box.cell()];
+                    racks[box.rack()] += box.linkKbytesPerS() * linkShare[box.cell()];
                 }
             }
             return racks;
@@ -221,7 +223,7 @@
             double[] racks = byRack();
             double sum = 0;
             for (int rack = 0; rack < racks.length; rack++) {
-                sum += Math.min(racks[rack], plan.uplinksKb().get(rack) * uplinkShare[rack]);
+                sum += Math.min(racks[rack], plan.uplinksKbytesPerS().get(rack) * uplinkShare[rack]);
             }
             return sum;
         }
--- a/day/src/test/java/spanrill/day/ForecastTest.java
+++ b/day/src/test/java/spanrill/day/ForecastTest.java
@@ -33,18 +33,18 @@
     /** Little's law: 20 a second who stay 10 s are 200 at once. */
     @Test
     void whatIsWantedFollowsFromArrivalsAndStays() throws Exception {
-        Forecast forecast = Forecast.of(day(""), 3, 10_000);
+        Forecast forecast = Forecast.compute(day(""), 3, 10_000);
         assertEquals(20, forecast.steps().size());
         List<Forecast.Step> full = forecast.steps().subList(1, 20);
         assertEquals(
                 200, full.stream().mapToInt(Forecast.Step::sessions).average().orElse(0), 12);
         for (Forecast.Step step : full) {
-            assertEquals(step.sessions() * 200.0, step.floorKb(), 1e-6);
-            assertEquals(step.sessions() * 800.0, step.topKb(), 1e-6);
-            assertEquals(10_000, step.linksKb(), 1e-6);
-            assertEquals(5000, step.uplinksKb(), 1e-6);
+            assertEquals(step.sessions() * 200.0, step.floorKbytesPerS(), 1e-6);
+            assertEquals(step.sessions() * 800.0, step.topKbytesPerS(), 1e-6);
+            assertEquals(10_000, step.linksKbytesPerS(), 1e-6);
+            assertEquals(5000, step.uplinksKbytesPerS(), 1e-6);
             assertEquals(200, step.places());
-            assertTrue(step.floorUse() > 4, "floors ask for 40 MB/s of 5");
+            assertTrue(step.floorUtilization() > 4, "floors ask for 40 MB/s of 5");
         }
         assertEquals(0.2, forecast.hottest().share(), 0.03);
         assertEquals(40, forecast.hottest().places());
@@ -56,15 +56,17 @@
                 + "  { kind: 'crash', atMs: 42000, forMs: 3000, part: 0.4 },\n"
                 + "  { kind: 'shared_slow', atMs: 42000, forMs: 30000, part: 0.5 },\n"
                 + "  { kind: 'balancer_crash', atMs: 101000, forMs: 5000, part: 0.5 }]");
-        List<Forecast.Step> steps = Forecast.of(day, 3, 10_000).steps();
+        List<Forecast.Step> steps = Forecast.compute(day, 3, 10_000).steps();
         assertEquals(120, steps.get(4).places(), "four boxes were down for a part of it");
-        assertEquals(6000, steps.get(4).linksKb(), 1e-6);
+        assertEquals(6000, steps.get(4).linksKbytesPerS(), 1e-6);
         assertEquals(200, steps.get(5).places());
-        assertEquals(3750, steps.get(5).uplinksKb(), 1e-6, "one of two uplinks at half");
-        assertEquals(5000, steps.get(9).uplinksKb(), 1e-6);
+        assertEquals(3750, steps.get(5).uplinksKbytesPerS(), 1e-6, "one of two uplinks at half");
+        assertEquals(5000, steps.get(9).uplinksKbytesPerS(), 1e-6);
         assertEquals(2, steps.get(10).frontsUp());
         assertEquals(4, steps.get(11).frontsUp());
-        Plan plan = new Plan(day, 3);
-        assertEquals(List.of(4L, 1L, 2L), List.of(plan.firstActsOn(0), plan.firstActsOn(1), plan.firstActsOn(2)));
+        DayPlan plan = new DayPlan(day, 3);
+        assertEquals(
+                List.of(4L, 1L, 2L),
+                List.of(plan.initialTargetCount(0), plan.initialTargetCount(1), plan.initialTargetCount(2)));
     }
 }
--- a/emulator/src/main/java/spanrill/emulator/Box.java
+++ b/emulator/src/main/java/spanrill/emulator/Box.java
@@ -15,9 +15,9 @@
 import spanrill.day.Day;
 import spanrill.day.FleetPlan;
 import spanrill.decisions.SessionEnd;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
+import spanrill.model.box.BoxParameters;
 import spanrill.model.box.BoxProcess;
-import spanrill.model.box.BoxRules;
 import spanrill.model.link.LinkNetwork;
 import spanrill.session.BoxClient;
 
@@ -98,7 +98,7 @@
     private final World world;
     private final FleetPlan.Box plan;
     private final int hall;
-    private final BoxRules rules;
+    private final BoxParameters rules;
     private final LinkNetwork network;
     private final UniformRandomProvider random;
     private final Map<String, Playing> sessions = new LinkedHashMap<>();
@@ -122,7 +122,7 @@
         Day day = world.day();
         hall = day.zones().indexOf(plan.zone());
         Day.Boxes all = day.boxes();
-        rules = new BoxRules(
+        rules = new BoxParameters(
                 all.places(),
                 all.setUpMs(),
                 all.coldMs(),
@@ -130,7 +130,7 @@
                 day.rules().fallMultiple(),
                 day.rules().fallMs(),
                 TURNED_AWAY_AT);
-        random = Draws.of(seed, plan.id());
+        random = RandomStreams.of(seed, plan.id());
     }
 
     FleetPlan.Box plan() {
@@ -178,7 +178,7 @@
         double now = world.now();
         world.tap().record(new TraceEvent.BoxStopped(now, plan.id(), why));
         life = null;
-        sessions.values().forEach(session -> network.leave(now, session.flow));
+        sessions.values().forEach(session -> network.removeFlow(now, session.flow));
         sessions.clear();
         parked.clear();
         List<Wire> open = new ArrayList<>(wires);
@@ -285,23 +285,23 @@
                         order.rung(),
                         order.spends(),
                         order.continues()));
-        BoxProcess.Reply does = life.setUp(now, key, network.linkUse(plan.cell()), slow);
-        if (does instanceof BoxProcess.Reply.PushedOver) {
+        BoxProcess.SetUpDecision does = life.setUp(now, key, network.linkUtilization(plan.cell()), slow);
+        if (does instanceof BoxProcess.SetUpDecision.Crashes) {
             die("pushed over");
-        } else if (does instanceof BoxProcess.Reply.Known) {
+        } else if (does instanceof BoxProcess.SetUpDecision.AlreadyKnown) {
             answer(wire, reply, key, 409, null);
-        } else if (does instanceof BoxProcess.Reply.TurnedAway away) {
+        } else if (does instanceof BoxProcess.SetUpDecision.Rejected away) {
             answer(wire, reply, key, 503, away.reason());
-        } else if (does instanceof BoxProcess.Reply.Works works) {
+        } else if (does instanceof BoxProcess.SetUpDecision.Accepted works) {
             BoxProcess own = life;
             wire.onClosed = () -> {
                 wires.remove(wire);
                 if (life == own) {
                     world.tap().record(new TraceEvent.AttemptEnded(world.now(), key, "called off"));
-                    own.connectionLost(key);
+                    own.onConnectionLost(key);
                 }
             };
-            world.after(works.ms(), () -> ready(front, order, wire, reply, own));
+            world.after(works.workMs(), () -> ready(front, order, wire, reply, own));
         }
     }
 
@@ -313,7 +313,7 @@
             parked.add(() -> ready(front, order, wire, reply, own));
             return;
         }
-        if (!life.begins(order.key())) {
+        if (!life.finishSetUp(order.key())) {
             return;
         }
         double now = world.now();
@@ -321,7 +321,7 @@
         wires.remove(wire);
         Day.DayClass type = world.day().classes().get(order.request().className());
         Playing session = new Playing(
-                order, front, life, type, network.join(now, plan.cell(), rate(order.rung(), type.scale())), now);
+                order, front, life, type, network.addFlow(now, plan.cell(), rate(order.rung(), type.scale())), now);
         sessions.put(order.key(), session);
         spends += order.spends() ? 1 : 0;
         world.tap().record(new TraceEvent.AttemptStarted(now, order.key()));
@@ -331,8 +331,8 @@
         }
         world.tap().record(new TraceEvent.SetUpAnswer(now, order.key(), 200, null));
         reply.plays();
-        tell(session, NoteKind.LINK_USE, Math.min(MOST_USE, network.linkUse(plan.cell())), 0);
-        tell(session, NoteKind.UPLINK_USE, Math.min(MOST_USE, network.uplinkUse(plan.rack())), 0);
+        tell(session, NoteKind.LINK_USE, Math.min(MOST_USE, network.linkUtilization(plan.cell())), 0);
+        tell(session, NoteKind.UPLINK_USE, Math.min(MOST_USE, network.uplinkUtilization(plan.rack())), 0);
     }
 
     private void answer(Wire wire, SetUpReply reply, String key, int status, String reason) {
@@ -355,7 +355,7 @@
     /** Told to end an attempt; the answer is given at its end of the wire. */
     void callOff(Front front, String key, Wire wire, java.util.function.Consumer<CallOff> answer) {
         heard(front.hall(), wire, () -> {
-            boolean ran = life.callOff(key);
+            boolean ran = life.cancel(key);
             end(key, "released");
             world.tap().record(new TraceEvent.CancelAnswer(world.now(), key, ran));
             answer.accept(new CallOff(ran, world.now() - startedAt, load()));
@@ -370,7 +370,7 @@
                     world.worth().changed(session, rung);
                 }
                 session.rung = rung;
-                network.rate(world.now(), session.flow, rate(rung, session.scale));
+                network.setRate(world.now(), session.flow, rate(rung, session.scale));
                 world.tap().record(new TraceEvent.RungChanged(world.now(), key, rung));
             }
         });
@@ -387,13 +387,13 @@
     }
 
     double granted(Playing session) {
-        return network.granted(world.now(), session.flow);
+        return network.grantedBytes(world.now(), session.flow);
     }
 
     private void end(String key, String why) {
         Playing session = sessions.remove(key);
         if (session != null) {
-            network.leave(world.now(), session.flow);
+            network.removeFlow(world.now(), session.flow);
         }
         world.tap().record(new TraceEvent.AttemptEnded(world.now(), key, why));
     }
@@ -404,7 +404,7 @@
         List<Playing> due =
                 sessions.values().stream().filter(s -> now - s.seenAt > IDLE_MS).toList();
         for (Playing session : due) {
-            life.ended(session.key);
+            life.onSessionEnded(session.key);
             end(session.key, "idle");
             Front front = session.front;
             world.after(
@@ -452,8 +452,8 @@
 
     /** At the stated interval: how full link and uplink are, on one session of each front. */
     void tellUse() {
-        shownLink = Math.min(MOST_USE, network.linkUse(plan.cell()));
-        shownUplink = Math.min(MOST_USE, network.uplinkUse(plan.rack()));
+        shownLink = Math.min(MOST_USE, network.linkUtilization(plan.cell()));
+        shownUplink = Math.min(MOST_USE, network.uplinkUtilization(plan.rack()));
         Set<Front> told = new HashSet<>();
         for (Playing session : sessions.values()) {
             if (told.add(session.front)) {
--- a/emulator/src/main/java/spanrill/emulator/Emulator.java
+++ b/emulator/src/main/java/spanrill/emulator/Emulator.java
@@ -9,7 +9,7 @@
 import spanrill.check.EventRecorder;
 import spanrill.check.TraceEvent;
 import spanrill.day.Day;
-import spanrill.day.Plan;
+import spanrill.day.DayPlan;
 import spanrill.session.SessionCore;
 
 /** Plays days in virtual time. Runs are independent of each other: as many at once as there are cores. */
@@ -47,7 +47,7 @@
         try (EventRecorder tap = new EventRecorder(options.taps())) {
             tap.record(facts(day));
             World world = new World(day, seed, tap, Costs.usual(), options.policy());
-            world.play(new Plan(day, seed), options.lookMs(), options.bound());
+            world.play(new DayPlan(day, seed), options.lookMs(), options.bound());
             return new Run(tap.events(), world.figures(), world.worth().worth(), World.BEGIN_MS, world.events());
         }
     }
--- a/emulator/src/main/java/spanrill/emulator/FrontPlan.java
+++ b/emulator/src/main/java/spanrill/emulator/FrontPlan.java
@@ -34,7 +34,7 @@
                     new SessionType(
                             c.once(), c.floor(), c.scale(), new AnswerDeadline(c.patienceMs(), ANSWER_MARGIN_MS)));
         });
-        double links = fleet.linksKb();
+        double links = fleet.totalLinkKbytesPerS();
         Day.Rules rules = day.rules();
         SessionControl.Settings module = new SessionControl.Settings(
                 me,
--- a/emulator/src/main/java/spanrill/emulator/Registry.java
+++ b/emulator/src/main/java/spanrill/emulator/Registry.java
@@ -9,7 +9,7 @@
 import spanrill.SessionControl.Server;
 import spanrill.SessionControl.ServerState;
 import spanrill.check.TraceEvent;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
 import spanrill.session.Title;
 
 /**
@@ -36,7 +36,7 @@
     Registry(World world, long seed, Map<String, Title> titles) {
         this.world = world;
         this.titles = titles;
-        random = Draws.of(seed, "registry");
+        random = RandomStreams.of(seed, "registry");
     }
 
     static Server entry(Box box, ServerState state) {
@@ -112,7 +112,8 @@
     void change(Box box, ServerState state, List<Double> lateMs) {
         Server server = entry(box, state);
         truth.put(server.id(), server);
-        views.forEach((number, view) -> world.after(Draws.between(random, lateMs), () -> hear(number, view, server)));
+        views.forEach(
+                (number, view) -> world.after(RandomStreams.uniform(random, lateMs), () -> hear(number, view, server)));
     }
 
     private void hear(int number, View view, Server server) {
--- a/emulator/src/main/java/spanrill/emulator/Viewer.java
+++ b/emulator/src/main/java/spanrill/emulator/Viewer.java
@@ -8,10 +8,10 @@
 import spanrill.day.Day;
 import spanrill.decisions.SessionEnd;
 import spanrill.decisions.TrackRates;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
 import spanrill.model.player.Player;
-import spanrill.model.player.Player.Next;
-import spanrill.model.player.Traits;
+import spanrill.model.player.Player.Action;
+import spanrill.model.player.ViewerTraits;
 import spanrill.session.Session;
 import spanrill.session.ViewerCall;
 import spanrill.session.ViewerRequest;
@@ -26,7 +26,7 @@
 
     private final World world;
     private final Arrival arrival;
-    private final Traits traits;
+    private final ViewerTraits traits;
     private final Day day;
     private final UniformRandomProvider random;
     private final String name;
@@ -50,7 +50,7 @@
         this.arrival = arrival;
         day = world.day();
         traits = arrival.traits();
-        random = Draws.of(traits.seed() + 1);
+        random = RandomStreams.of(traits.seed() + 1);
         name = "e-t" + arrival.number();
         title = "title-" + traits.title();
         waits = random.nextDouble() < day.viewers().waitForHall();
@@ -66,7 +66,7 @@
     }
 
     void come() {
-        world.tap().record(new TraceEvent.ViewerArrived(now(), name, traits.cls()));
+        world.tap().record(new TraceEvent.ViewerArrived(now(), name, traits.serviceClass()));
         world.worth().came(name, this);
         player = new Player(traits, now(), day.viewers().returnMs());
         newToken();
@@ -81,7 +81,7 @@
     }
 
     private boolean waitsForHall() {
-        return waits && world.watch().whenHealed(traits.hall(), () -> world.after(0, this::ask));
+        return waits && world.watch().runWhenHealed(traits.hall(), () -> world.after(0, this::ask));
     }
 
     private void newToken() {
@@ -90,8 +90,8 @@
         tokenExpires = now() + TOKEN_MS;
     }
 
-    private void follow(Next next, String why) {
-        if (next instanceof Next.Ask again) {
+    private void follow(Action next, String why) {
+        if (next instanceof Action.Request again) {
             if (again.newToken()) {
                 newToken();
             }
@@ -99,13 +99,13 @@
             if (!waitsForHall()) {
                 world.after(again.afterMs(), this::ask);
             }
-        } else if (next instanceof Next.Fetch fetch) {
+        } else if (next instanceof Action.Fetch fetch) {
             if (fetch.afterMs() > 0) {
                 world.after(fetch.afterMs(), () -> fetch(fetch));
             } else {
                 fetch(fetch);
             }
-        } else if (next instanceof Next.End end) {
+        } else if (next instanceof Action.End end) {
             finish(end.lostPatience());
         } else {
             over(why);
@@ -123,29 +123,29 @@
     // ---- asking
 
     private void ask() {
-        player.asks();
-        boolean first = player.tries() == 1;
-        front = world.fronts().get(world.choice().pick(now(), traits.hall(), random.nextDouble()));
+        player.onRequestSent();
+        boolean first = player.requestCount() == 1;
+        front = world.fronts().get(world.choice().select(now(), traits.hall(), random.nextDouble()));
         frontLife = front.life();
         double way = way();
         if (!front.up()) {
-            world.after(2 * way, () -> follow(player.lost(now(), true), "no front"));
+            world.after(2 * way, () -> follow(player.onConnectionLost(now(), true), "no front"));
             return;
         }
         // The connection takes its way there and back before the request is written.
         world.after(2 * way, () -> {
             if (!front.up()) {
-                follow(player.lost(now(), true), "no front");
+                follow(player.onConnectionLost(now(), true), "no front");
                 return;
             }
             waiting = true;
             patience = world.after(traits.patienceMs() + LATE_MS, this::noAnswer);
             call = request(true);
             ask = call.number;
-            if (traits.leavesMs() >= 0 && first) {
-                world.after(traits.leavesMs(), this::leave);
+            if (traits.leaveAfterMs() >= 0 && first) {
+                world.after(traits.leaveAfterMs(), this::leave);
             }
-            if (traits.doubles() && first) {
+            if (traits.sendsTokenTwice() && first) {
                 world.after(2 * way, () -> {
                     if (waiting) {
                         request(false);
@@ -160,7 +160,13 @@
         made.number = world.figures().nextAsk();
         world.tap()
                 .record(new TraceEvent.Request(
-                        now(), made.number, front.number(), tokenId, traits.cls(), title, traits.patienceMs()));
+                        now(),
+                        made.number,
+                        front.number(),
+                        tokenId,
+                        traits.serviceClass(),
+                        title,
+                        traits.patienceMs()));
         made.send();
         return made;
     }
@@ -223,11 +229,11 @@
                                                         arrivedAt,
                                                         tokenExpires,
                                                         title,
-                                                        traits.cls(),
+                                                        traits.serviceClass(),
                                                         null,
                                                         "v" + arrival.number(),
                                                         Math.min(
-                                                                traits.top(),
+                                                                traits.topRung(),
                                                                 day.ladder()
                                                                                 .kb()
                                                                                 .size()
@@ -258,7 +264,11 @@
                 if (main && waiting) {
                     waiting = false;
                     patience.cancel();
-                    follow(player.lost(now(), !day.classes().get(traits.cls()).once()), "front lost");
+                    follow(
+                            player.onConnectionLost(
+                                    now(),
+                                    !day.classes().get(traits.serviceClass()).once()),
+                            "front lost");
                 }
             }
         }
@@ -286,10 +296,10 @@
                 world.figures().setUp(now() - askedAt);
                 session = given.id();
                 frontLife = life;
-                long length = day.titles().lengthsMs().get(0);
+                long length = day.titles().segmentLengthsMs().get(0);
                 int segments = (int) Math.ceil((double) day.titles().durationMs() / length);
-                Next next = player.plays(now(), ladder, length, segments);
-                if (traits.replays()) {
+                Action next = player.onPlaying(now(), ladder, length, segments);
+                if (traits.replaysToken()) {
                     world.after(2 * way, () -> request(false));
                 }
                 // The initialization segment is asked for first.
@@ -310,7 +320,7 @@
         public void onRefused(double retryAfterMs) {
             // Retry-After knows whole seconds.
             double told = retryAfterMs > 0 ? Math.ceil(retryAfterMs / 1000) * 1000 : 0;
-            answer(503, "refused", () -> follow(player.refused(now(), told), "refused"));
+            answer(503, "refused", () -> follow(player.onRefused(now(), told), "refused"));
         }
 
         @Override
@@ -326,8 +336,8 @@
 
     // ---- playing
 
-    private void fetch(Next.Fetch fetch) {
-        player.fetches(now());
+    private void fetch(Action.Fetch fetch) {
+        player.onFetchStarted(now());
         if (!front.up() || front.life() != frontLife) {
             broken(0, null);
             return;
@@ -345,7 +355,7 @@
             if (download != under) {
                 return;
             }
-            Next next = player.waits(now());
+            Action next = player.checkPatience(now());
             if (next == null) {
                 look(under);
             } else {
@@ -380,7 +390,7 @@
     private void tooSlow() {
         world.tap().record(new TraceEvent.SessionBroken(now(), tokenId, front.number(), -1, null));
         newToken();
-        follow(player.gaveUp(now()), "too slow");
+        follow(player.onGaveUp(now()), "too slow");
     }
 
     private void broken(int status, SessionEnd end) {
@@ -388,37 +398,39 @@
         world.tap()
                 .record(new TraceEvent.SessionBroken(
                         now(), tokenId, front.number(), status, end == null ? null : end.wireName()));
-        follow(player.lost(now(), true), "broken");
+        follow(player.onConnectionLost(now(), true), "broken");
     }
 
     /** One segment, asked of the front, which asks the box. */
     private final class Download {
-        private final Next.Fetch fetch;
+        private final Action.Fetch fetch;
         private final Relay relay;
         private boolean over;
         private final Runnable frontLost = this::frontLost;
 
-        Download(Next.Fetch fetch) {
+        Download(Action.Fetch fetch) {
             this.fetch = fetch;
             double ms = lengthMs();
             double audio = TrackRates.audioRate(
-                    day.titles().audioKb(), kb(day.classes().get(traits.cls()).floor()));
+                    day.titles().audioKb(),
+                    kb(day.classes().get(traits.serviceClass()).floor()));
             relay = new Relay(
                     world,
                     front,
                     session,
-                    fetch.rung() + day.classes().get(traits.cls()).floor(),
+                    fetch.rung() + day.classes().get(traits.serviceClass()).floor(),
                     rung -> Math.max(1, Math.round((TrackRates.videoRate(kb(rung), audio) + audio) * ms)),
                     this::came);
         }
 
         private double lengthMs() {
-            List<Long> lengths = day.titles().lengthsMs();
+            List<Long> lengths = day.titles().segmentLengthsMs();
             return lengths.get((fetch.number() - 1) % lengths.size());
         }
 
         private double kb(int rung) {
-            return day.ladder().kb().get(rung) * day.classes().get(traits.cls()).scale();
+            return day.ladder().kb().get(rung)
+                    * day.classes().get(traits.serviceClass()).scale();
         }
 
         void send() {
@@ -461,7 +473,7 @@
                 world.figures().segments++;
                 world.figures().bytes += result.bytes();
                 world.figures().rungs += result.rung();
-                follow(player.segment(now(), result.bytes() * 8.0, lengthMs()), "watched");
+                follow(player.onSegmentReceived(now(), result.bytes() * 8.0, lengthMs()), "watched");
             });
         }
     }
--- a/emulator/src/main/java/spanrill/emulator/World.java
+++ b/emulator/src/main/java/spanrill/emulator/World.java
@@ -7,12 +7,12 @@
 import spanrill.SessionControl.ServerState;
 import spanrill.check.EventRecorder;
 import spanrill.day.Day;
+import spanrill.day.DayPlan;
 import spanrill.day.FleetPlan;
-import spanrill.day.Plan;
-import spanrill.model.hall.HallWatch;
-import spanrill.model.hall.Halls;
+import spanrill.model.hall.HallHealNotifier;
+import spanrill.model.hall.HallNetwork;
 import spanrill.model.link.LinkNetwork;
-import spanrill.model.player.FrontChoice;
+import spanrill.model.player.FrontSelector;
 import spanrill.model.trouble.Effect;
 import spanrill.session.SessionCore;
 import spanrill.session.Title;
@@ -27,14 +27,14 @@
     private final Costs costs;
     private final VirtualTimeScheduler agenda = new VirtualTimeScheduler();
     private final EventRecorder tap;
-    private final Halls halls;
-    private final HallWatch watch;
+    private final HallNetwork halls;
+    private final HallHealNotifier watch;
     private final LinkNetwork network = new LinkNetwork();
     private final List<Box> boxes = new ArrayList<>();
     private final Map<String, Box> byId = new HashMap<>();
     private final List<Front> fronts = new ArrayList<>();
     private final Registry registry;
-    private final FrontChoice choice;
+    private final FrontSelector choice;
     private final long[] linkBytes;
     private final long[] uplinkBytes;
     private final Figures figures = new Figures();
@@ -44,13 +44,14 @@
         this.day = day;
         this.tap = tap;
         this.costs = costs;
-        halls = new Halls(day.zones(), day.distances().sameMs(), day.distances().crossMs());
-        watch = new HallWatch(day.zones().size());
+        halls = new HallNetwork(
+                day.zones(), day.distances().sameMs(), day.distances().crossMs());
+        watch = new HallHealNotifier(day.zones().size());
         FleetPlan fleet = FleetPlan.of(day, seed);
         linkBytes = fleet.boxes().stream()
-                .mapToLong(box -> Math.round(box.linkKb() * 1000))
+                .mapToLong(box -> Math.round(box.linkKbytesPerS() * 1000))
                 .toArray();
-        uplinkBytes = fleet.uplinksKb().stream()
+        uplinkBytes = fleet.uplinksKbytesPerS().stream()
                 .mapToLong(kb -> Math.round(kb * 1000))
                 .toArray();
         for (long uplink : uplinkBytes) {
@@ -63,7 +64,7 @@
             boxes.add(box);
             byId.put(plan.id(), box);
         }
-        choice = new FrontChoice(
+        choice = new FrontSelector(
                 day.fronts(),
                 day.zones().size(),
                 day.viewers().frontNoticeMs().get(0),
@@ -75,7 +76,7 @@
 
     private static Map<String, Title> titles(Day day, long seed) {
         Map<String, Title> titles = new HashMap<>();
-        List<int[]> placed = new Plan(day, seed).placement();
+        List<int[]> placed = new DayPlan(day, seed).titlePlacements();
         for (int i = 0; i < placed.size(); i++) {
             titles.put(
                     "title-" + i,
@@ -84,7 +85,7 @@
                             placed.get(i)[0],
                             placed.get(i)[1],
                             day.titles().durationMs(),
-                            day.titles().lengthsMs(),
+                            day.titles().segmentLengthsMs(),
                             day.titles().audioKb(),
                             null));
         }
@@ -103,11 +104,11 @@
         return tap;
     }
 
-    Halls halls() {
+    HallNetwork halls() {
         return halls;
     }
 
-    HallWatch watch() {
+    HallHealNotifier watch() {
         return watch;
     }
 
@@ -115,7 +116,7 @@
         return registry;
     }
 
-    FrontChoice choice() {
+    FrontSelector choice() {
         return choice;
     }
 
@@ -161,7 +162,7 @@
     // ---- the run
 
     /** Plays the day to its end. */
-    void play(Plan plan, double lookMs, boolean bound) {
+    void play(DayPlan plan, double lookMs, boolean bound) {
         worth = new WorthMeter(this, plan, network, lookMs, bound);
         boxes.forEach(box -> {
             box.start(false);
@@ -184,40 +185,40 @@
     }
 
     private void act(Effect effect) {
-        if (effect instanceof Effect.BoxDies e) {
-            boxes.get(e.box()).die(e.why());
-            listed(e.box(), ServerState.GONE, e.why().equals("replaced"));
+        if (effect instanceof Effect.BoxStops e) {
+            boxes.get(e.box()).die(e.reason());
+            listed(e.box(), ServerState.GONE, e.reason().equals("replaced"));
         } else if (effect instanceof Effect.BoxStarts e) {
             boxes.get(e.box()).start(true);
-            listed(e.box(), ServerState.READY, !e.silent());
+            listed(e.box(), ServerState.READY, !e.unannounced());
         } else if (effect instanceof Effect.BoxDrains e) {
             boxes.get(e.box()).drain();
             listed(e.box(), ServerState.DRAINING, true);
-        } else if (effect instanceof Effect.BoxMute e) {
+        } else if (effect instanceof Effect.BoxHangs e) {
             boxes.get(e.box()).mute(true);
             listed(e.box(), ServerState.GONE, false);
-        } else if (effect instanceof Effect.BoxSlow e) {
-            boxes.get(e.box()).slow(e.times());
-        } else if (effect instanceof Effect.BoxLink e) {
-            network.give(now(), e.box(), Math.round(linkBytes[e.box()] * e.share()));
-        } else if (effect instanceof Effect.BoxNotesLate e) {
-            boxes.get(e.box()).notesLate(e.ms());
-        } else if (effect instanceof Effect.BoxAnswersLost e) {
+        } else if (effect instanceof Effect.BoxSlowdown e) {
+            boxes.get(e.box()).slow(e.factor());
+        } else if (effect instanceof Effect.BoxLinkShare e) {
+            network.setLinkCapacity(now(), e.box(), Math.round(linkBytes[e.box()] * e.share()));
+        } else if (effect instanceof Effect.BoxNoteDelay e) {
+            boxes.get(e.box()).notesLate(e.delayMs());
+        } else if (effect instanceof Effect.BoxAnswerLoss e) {
             boxes.get(e.box()).answersLost(e.share());
-        } else if (effect instanceof Effect.RackUplink e) {
-            network.giveUplink(now(), e.rack(), Math.round(uplinkBytes[e.rack()] * e.share()));
-        } else if (effect instanceof Effect.HallCut e) {
-            cut(e.hall(), e.on());
-        } else if (effect instanceof Effect.FrontDies e) {
-            choice.down(now(), e.front());
+        } else if (effect instanceof Effect.RackUplinkShare e) {
+            network.setUplinkCapacity(now(), e.rack(), Math.round(uplinkBytes[e.rack()] * e.share()));
+        } else if (effect instanceof Effect.HallIsolation e) {
+            cut(e.hall(), e.isolated());
+        } else if (effect instanceof Effect.FrontStops e) {
+            choice.markDown(now(), e.front());
             fronts.get(e.front()).die();
         } else if (effect instanceof Effect.FrontStarts e) {
             after(costs.startMs(), () -> {
                 fronts.get(e.front()).start();
-                choice.up(e.front());
+                choice.markUp(e.front());
             });
-        } else if (effect instanceof Effect.FrontStalls e) {
-            fronts.get(e.front()).stall(e.on());
+        } else if (effect instanceof Effect.FrontPause e) {
+            fronts.get(e.front()).stall(e.paused());
         }
     }
 
@@ -231,17 +232,17 @@
     /** Who can't reach whom follows from all cuts that are on. */
     private void cut(int hall, boolean on) {
         if (on) {
-            halls.cut(hall);
-            watch.cut(hall);
+            halls.isolate(hall);
+            watch.onIsolated(hall);
         }
         boolean healed = !on && halls.heal(hall);
         for (Box box : boxes) {
             for (int from = 0; from < halls.size(); from++) {
-                box.cut(from, !halls.reach(from, box.hall()));
+                box.cut(from, !halls.canReach(from, box.hall()));
             }
         }
         if (healed) {
-            watch.heal(hall);
+            watch.onHealed(hall);
         }
     }
 }
--- a/emulator/src/main/java/spanrill/emulator/WorthMeter.java
+++ b/emulator/src/main/java/spanrill/emulator/WorthMeter.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import spanrill.day.Arrival;
 import spanrill.day.Day;
-import spanrill.day.Plan;
+import spanrill.day.DayPlan;
 import spanrill.emulator.bound.BestPossible;
 import spanrill.emulator.bound.HolderFlow;
 import spanrill.emulator.bound.Wish;
@@ -36,14 +36,14 @@
     private double most;
     private int looks;
 
-    WorthMeter(World world, Plan plan, LinkNetwork network, double lookMs, boolean bound) {
+    WorthMeter(World world, DayPlan plan, LinkNetwork network, double lookMs, boolean bound) {
         this.world = world;
         this.network = network;
         this.bound = bound;
         this.lookMs = lookMs;
         day = world.day();
         arrivals = plan.arrivals();
-        for (int[] placed : plan.placement()) {
+        for (int[] placed : plan.titlePlacements()) {
             int[] cells = new int[placed[1]];
             for (int i = 0; i < cells.length; i++) {
                 cells[i] = (placed[0] + i) % day.boxes().count();
@@ -103,11 +103,11 @@
         if (bound) {
             long[] links = new long[rackOf.length];
             for (int i = 0; i < links.length; i++) {
-                links[i] = world.boxes().get(i).up() ? network.gives(i) : 0;
+                links[i] = world.boxes().get(i).up() ? network.linkCapacity(i) : 0;
             }
             long[] uplinks = new long[day.boxes().racks()];
             for (int i = 0; i < uplinks.length; i++) {
-                uplinks[i] = network.uplinkGives(i);
+                uplinks[i] = network.uplinkCapacity(i);
             }
             most += BestPossible.worth(wishes, new HolderFlow(holders, links, rackOf, uplinks));
         }
@@ -124,11 +124,11 @@
     }
 
     private void wish(Arrival arrival, List<Wish> wishes) {
-        Day.DayClass type = day.classes().get(arrival.traits().cls());
+        Day.DayClass type = day.classes().get(arrival.traits().serviceClass());
         int top = Math.max(
                 type.floor(),
                 Math.min(
-                        arrival.traits().top(),
+                        arrival.traits().topRung(),
                         Math.min(type.top(), day.ladder().kb().size() - 1)));
         long[] rates = new long[top - type.floor() + 1];
         double[] worths = new double[rates.length];
--- a/model/src/main/java/spanrill/model/Draws.java
+++ b/model/src/main/java/spanrill/model/RandomStreams.java
@@ -8,8 +8,8 @@
  * Sources of draws: one of its own for each purpose, so that a change of one leaves the others as they
  * were.
  */
-public final class Draws {
-    private Draws() {}
+public final class RandomStreams {
+    private RandomStreams() {}
 
     /** A source for a purpose. */
     public static UniformRandomProvider of(long seed, String purpose) {
@@ -22,7 +22,7 @@
     }
 
     /** A draw between the two ends of a range. */
-    public static double between(UniformRandomProvider random, List<Double> range) {
+    public static double uniform(UniformRandomProvider random, List<Double> range) {
         return range.get(0) + random.nextDouble() * (range.get(1) - range.get(0));
     }
 
--- a/model/src/main/java/spanrill/model/box/BoxRules.java
+++ b/model/src/main/java/spanrill/model/box/BoxParameters.java
@@ -9,18 +9,18 @@
  * @param coldShare its share of that at the start
  * @param fallMultiple sent more than this multiple of its present pace
  * @param fallMs over this long, a cold box falls over
- * @param turnAwayAt it turns away when its link is asked for more than this multiple of what it gives
+ * @param maxLinkUtilization it turns away when its link is asked for more than this multiple of what it gives
  */
-public record BoxRules(
+public record BoxParameters(
         double places,
         double setUpMs,
         double coldMs,
         double coldShare,
         double fallMultiple,
         double fallMs,
-        double turnAwayAt) {
+        double maxLinkUtilization) {
     /** Checks the figures. */
-    public BoxRules {
+    public BoxParameters {
         if (!(places >= 1)
                 || !(setUpMs >= 0)
                 || !(coldMs >= 0)
@@ -28,7 +28,7 @@
                 || coldShare > 1
                 || !(fallMultiple > 0)
                 || !(fallMs > 0)
-                || !(turnAwayAt > 0)) {
+                || !(maxLinkUtilization > 0)) {
             throw new IllegalArgumentException("figures of a box are out of their range");
         }
     }
--- a/model/src/main/java/spanrill/model/box/BoxProcess.java
+++ b/model/src/main/java/spanrill/model/box/BoxProcess.java
@@ -20,21 +20,21 @@
     private static final int MOST_REMEMBERED = 20_000;
 
     /** What it does with a set-up. */
-    public sealed interface Reply {
+    public sealed interface SetUpDecision {
         /** It falls over: its process dies. */
-        record PushedOver() implements Reply {}
+        record Crashes() implements SetUpDecision {}
 
         /** It knows the key already, called off or under way: this set-up never begins. */
-        record Known() implements Reply {}
+        record AlreadyKnown() implements SetUpDecision {}
 
         /** Turned away unseen, with the reason on the wire. */
-        record TurnedAway(String reason) implements Reply {}
+        record Rejected(String reason) implements SetUpDecision {}
 
         /** It works on it for so long, then {@link #begins} says whether it plays. */
-        record Works(double ms) implements Reply {}
+        record Accepted(double workMs) implements SetUpDecision {}
     }
 
-    private final BoxRules rules;
+    private final BoxParameters rules;
     private final UniformRandomProvider random;
     private final double startedAt;
     private final ArrayDeque<Double> coldSends = new ArrayDeque<>();
@@ -57,7 +57,7 @@
      *
      * @param startedAt when it started cold; negative infinity when it is long warm
      */
-    public BoxProcess(BoxRules rules, double startedAt, UniformRandomProvider random) {
+    public BoxProcess(BoxParameters rules, double startedAt, UniformRandomProvider random) {
         this.rules = rules;
         this.startedAt = startedAt;
         this.random = random;
@@ -69,21 +69,21 @@
      * @param linkUse what its link is asked for over what it gives
      * @param slow its work takes so many times as long
      */
-    public Reply setUp(double now, String key, double linkUse, double slow) {
+    public SetUpDecision setUp(double now, String key, double linkUse, double slow) {
         if (pushedOver(now)) {
-            return new Reply.PushedOver();
+            return new SetUpDecision.Crashes();
         }
         if (over.containsKey(key) || settingUp.contains(key) || playing.contains(key)) {
-            return new Reply.Known();
+            return new SetUpDecision.AlreadyKnown();
         }
         String reason = draining
                 ? "draining"
-                : inflight() >= rules.places() ? "places" : linkUse > rules.turnAwayAt() ? "link" : null;
+                : inflight() >= rules.places() ? "places" : linkUse > rules.maxLinkUtilization() ? "link" : null;
         if (reason != null) {
-            return new Reply.TurnedAway(reason);
+            return new SetUpDecision.Rejected(reason);
         }
         settingUp.add(key);
-        return new Reply.Works(rules.setUpMs() * (0.5 + random.nextDouble()) * slow / warmth(now));
+        return new SetUpDecision.Accepted(rules.setUpMs() * (0.5 + random.nextDouble()) * slow / speedFraction(now));
     }
 
     private boolean pushedOver(double now) {
@@ -94,18 +94,18 @@
             coldSends.removeFirst();
         }
         coldSends.addLast(now);
-        double pace = rules.places() / rules.coldMs() * warmth(now);
+        double pace = rules.places() / rules.coldMs() * speedFraction(now);
         return coldSends.size() > rules.fallMultiple() * pace * rules.fallMs() + SPARE_SENDS;
     }
 
     /** Share of its pace that it has now. */
-    public double warmth(double now) {
+    public double speedFraction(double now) {
         double part = Math.min(1, (now - startedAt) / Math.max(1, rules.coldMs()));
         return rules.coldShare() + (1 - rules.coldShare()) * part;
     }
 
     /** The work of a set-up is done: true when it plays from now on, false when it was called off. */
-    public boolean begins(String key) {
+    public boolean finishSetUp(String key) {
         if (!settingUp.remove(key) || over.containsKey(key)) {
             return false;
         }
@@ -114,13 +114,13 @@
     }
 
     /** The connection of a set-up that is not answered yet was lost: it is called off. */
-    public void connectionLost(String key) {
+    public void onConnectionLost(String key) {
         settingUp.remove(key);
         over.putIfAbsent(key, playing.remove(key));
     }
 
     /** Told to end an attempt: true when it ran here; if not, it never will. */
-    public boolean callOff(String key) {
+    public boolean cancel(String key) {
         boolean ran = playing.remove(key) || Boolean.TRUE.equals(over.get(key));
         settingUp.remove(key);
         over.put(key, ran);
@@ -128,7 +128,7 @@
     }
 
     /** It ended a session by itself. */
-    public void ended(String key) {
+    public void onSessionEnded(String key) {
         if (playing.remove(key)) {
             over.put(key, true);
         }
--- a/model/src/main/java/spanrill/model/hall/HallWatch.java
+++ b/model/src/main/java/spanrill/model/hall/HallHealNotifier.java
@@ -8,12 +8,12 @@
  * it tries
  * at once when the network is back, together with all others of the hall. Safe from any thread.
  */
-public final class HallWatch {
+public final class HallHealNotifier {
     private final boolean[] cut;
     private final List<List<Runnable>> waiting = new ArrayList<>();
 
     /** Watches so many halls. */
-    public HallWatch(int halls) {
+    public HallHealNotifier(int halls) {
         cut = new boolean[halls];
         for (int i = 0; i < halls; i++) {
             waiting.add(new ArrayList<>());
@@ -21,12 +21,12 @@
     }
 
     /** A hall is cut off. */
-    public synchronized void cut(int hall) {
+    public synchronized void onIsolated(int hall) {
         cut[hall] = true;
     }
 
     /** It is healed: all who waited are told, outside of the lock. */
-    public void heal(int hall) {
+    public void onHealed(int hall) {
         List<Runnable> due;
         synchronized (this) {
             cut[hall] = false;
@@ -37,7 +37,7 @@
     }
 
     /** Runs the action when the hall heals; false, and nothing is kept, when it isn't cut. */
-    public synchronized boolean whenHealed(int hall, Runnable action) {
+    public synchronized boolean runWhenHealed(int hall, Runnable action) {
         if (cut[hall]) {
             waiting.get(hall).add(action);
         }
--- a/model/src/main/java/spanrill/model/hall/Halls.java
+++ b/model/src/main/java/spanrill/model/hall/HallNetwork.java
@@ -7,14 +7,14 @@
  * Halls with one-way times between them, and cuts. A cut hall reaches itself and nothing else; cuts of the
  * same hall may overlap and it is healed when the last of them ends.
  */
-public final class Halls {
+public final class HallNetwork {
     private final List<String> names;
     private final double sameMs;
     private final double crossMs;
     private final int[] cuts;
 
     /** Halls that are {@code sameMs} wide and {@code crossMs} apart, one way. */
-    public Halls(List<String> names, double sameMs, double crossMs) {
+    public HallNetwork(List<String> names, double sameMs, double crossMs) {
         this.names = new ArrayList<>(names);
         this.sameMs = sameMs;
         this.crossMs = crossMs;
@@ -22,7 +22,7 @@
     }
 
     /** Number of a hall by its name, or -1. */
-    public int number(String name) {
+    public int indexOf(String name) {
         return names.indexOf(name);
     }
 
@@ -37,7 +37,7 @@
     }
 
     /** A cut of a hall begins. */
-    public void cut(int hall) {
+    public void isolate(int hall) {
         cuts[hall]++;
     }
 
@@ -50,12 +50,12 @@
     }
 
     /** True while a hall is cut off. */
-    public boolean isCut(int hall) {
+    public boolean isIsolated(int hall) {
         return cuts[hall] > 0;
     }
 
     /** True when something sent from one hall reaches the other. */
-    public boolean reach(int from, int to) {
+    public boolean canReach(int from, int to) {
         return from == to || (cuts[from] == 0 && cuts[to] == 0);
     }
 
--- a/model/src/main/java/spanrill/model/link/LinkNetwork.java
+++ b/model/src/main/java/spanrill/model/link/LinkNetwork.java
@@ -126,7 +126,7 @@
     }
 
     /** A flow begins. */
-    public Flow join(double time, int box, long bytesPerS) {
+    public Flow addFlow(double time, int box, long bytesPerS) {
         at(time);
         Box to = boxes.get(box);
         to.settle(time);
@@ -137,11 +137,11 @@
     }
 
     /** A flow asks another rate. */
-    public void rate(double time, Flow flow, long bytesPerS) {
+    public void setRate(double time, Flow flow, long bytesPerS) {
         at(time);
         live(flow);
         flow.box.settle(time);
-        flow.grantedBefore = granted(time, flow);
+        flow.grantedBefore = grantedBytes(time, flow);
         flow.since = flow.box.integral;
         long change = checked(bytesPerS) - flow.rate;
         flow.rate = bytesPerS;
@@ -149,10 +149,10 @@
     }
 
     /** A flow ends; gives the bytes granted to it in all. */
-    public double leave(double time, Flow flow) {
+    public double removeFlow(double time, Flow flow) {
         at(time);
         live(flow);
-        double granted = granted(time, flow);
+        double granted = grantedBytes(time, flow);
         flow.gone = true;
         flow.box.flows--;
         ask(time, flow.box, -flow.rate);
@@ -166,7 +166,7 @@
     }
 
     /** A link gives another rate. */
-    public void give(double time, int box, long bytesPerS) {
+    public void setLinkCapacity(double time, int box, long bytesPerS) {
         at(time);
         Box of = boxes.get(box);
         of.settle(time);
@@ -176,7 +176,7 @@
     }
 
     /** An uplink gives another rate. */
-    public void giveUplink(double time, int rack, long bytesPerS) {
+    public void setUplinkCapacity(double time, int rack, long bytesPerS) {
         at(time);
         racks.get(rack).gives = checked(bytesPerS);
         recut(time, racks.get(rack));
@@ -215,20 +215,20 @@
     }
 
     /** Bytes granted to a flow since it began. */
-    public double granted(double time, Flow flow) {
+    public double grantedBytes(double time, Flow flow) {
         Box box = flow.box;
         double integral = box.integral + box.share * (time - box.at);
         return flow.grantedBefore + flow.rate * (integral - flow.since) / 1000;
     }
 
     /** What is asked of a link over what it gives. */
-    public double linkUse(int box) {
+    public double linkUtilization(int box) {
         Box of = boxes.get(box);
         return over(of.asked, of.gives);
     }
 
     /** What its links let through to an uplink over what it gives. */
-    public double uplinkUse(int rack) {
+    public double uplinkUtilization(int rack) {
         return over(racks.get(rack).through, racks.get(rack).gives);
     }
 
@@ -237,27 +237,27 @@
     }
 
     /** What the flows of a box ask, bytes a second. */
-    public long asked(int box) {
+    public long requestedBytesPerS(int box) {
         return boxes.get(box).asked;
     }
 
     /** What a link gives, bytes a second. */
-    public long gives(int box) {
+    public long linkCapacity(int box) {
         return boxes.get(box).gives;
     }
 
     /** What an uplink gives, bytes a second. */
-    public long uplinkGives(int rack) {
+    public long uplinkCapacity(int rack) {
         return racks.get(rack).gives;
     }
 
     /** Counts what changed the share of a box: the same count before and after says that it stood still. */
-    public long changes(int box) {
+    public long shareChanges(int box) {
         return boxes.get(box).changes;
     }
 
     /** Flows on a box. */
-    public int flows(int box) {
+    public int flowCount(int box) {
         return boxes.get(box).flows;
     }
 }
--- a/model/src/main/java/spanrill/model/player/Abandonment.java
+++ b/model/src/main/java/spanrill/model/player/AbandonmentModel.java
@@ -7,7 +7,7 @@
  * leaves with
  * a hazard in proportion to what is missing; and it always leaves in a stall that is too long.
  */
-public final class Abandonment {
+public final class AbandonmentModel {
     /** Hazard a second for each point (of 1) of the share that is missing. */
     private static final double HAZARD = 1.5;
 
@@ -20,7 +20,7 @@
     private double at = Double.NaN;
 
     /** Leaves under this share. */
-    public Abandonment(double bearable, UniformRandomProvider random) {
+    public AbandonmentModel(double bearable, UniformRandomProvider random) {
         this.bearable = bearable;
         this.random = random;
     }
@@ -42,7 +42,7 @@
     }
 
     /** The share, smoothed. */
-    public double share() {
+    public double smoothedShare() {
         return share;
     }
 }
--- a/model/src/main/java/spanrill/model/player/PlaybackBuffer.java
+++ b/model/src/main/java/spanrill/model/player/PlaybackBuffer.java
@@ -66,7 +66,7 @@
     }
 
     /** True while it plays. */
-    public boolean playing() {
+    public boolean isPlaying() {
         return playing;
     }
 
--- a/model/src/main/java/spanrill/model/player/Player.java
+++ b/model/src/main/java/spanrill/model/player/Player.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
 
 /**
  * One viewer with its player, from the first request to the end. It is told what happened and says what to do
@@ -18,24 +18,24 @@
     private static final double WORTH_MS = 1000;
 
     /** What to do next. */
-    public sealed interface Next {
+    public sealed interface Action {
         /** Ask for a session after so long; a new token unless the last one was refused. */
-        record Ask(double afterMs, boolean newToken) implements Next {}
+        record Request(double afterMs, boolean newToken) implements Action {}
 
         /** Fetch a segment after so long: number from 1, rung as an index of the ladder offered. */
-        record Fetch(double afterMs, int number, int rung) implements Next {}
+        record Fetch(double afterMs, int number, int rung) implements Action {}
 
         /** End the session in order. */
-        record End(boolean lostPatience) implements Next {}
+        record End(boolean lostPatience) implements Action {}
 
         /** Nothing more. */
-        record Done() implements Next {}
+        record Done() implements Action {}
     }
 
-    private final Traits traits;
-    private final Returning returning;
-    private final Abandonment abandonment;
-    private final RateRule rule;
+    private final ViewerTraits traits;
+    private final RetryPolicy returning;
+    private final AbandonmentModel abandonment;
+    private final RungSelector rule;
     private final double endsAt;
     private int tries;
     private List<Long> ladder = List.of();
@@ -51,54 +51,54 @@
     private int stalls;
 
     /** A player that comes now; it returns after waits drawn from the range. */
-    public Player(Traits traits, double now, List<Double> returnMs) {
+    public Player(ViewerTraits traits, double now, List<Double> returnMs) {
         this.traits = traits;
-        UniformRandomProvider random = Draws.of(traits.seed());
-        returning = new Returning(traits, random, returnMs.get(0), returnMs.get(1));
-        abandonment = new Abandonment(traits.bearable(), random);
-        rule = traits.bola() ? RateRule.bola() : RateRule.throughput(PART);
+        UniformRandomProvider random = RandomStreams.of(traits.seed());
+        returning = new RetryPolicy(traits, random, returnMs.get(0), returnMs.get(1));
+        abandonment = new AbandonmentModel(traits.minBearableShare(), random);
+        rule = traits.usesBola() ? RungSelector.bola() : RungSelector.throughput(PART);
         endsAt = now + traits.watchMs();
     }
 
     /** Its traits. */
-    public Traits traits() {
+    public ViewerTraits traits() {
         return traits;
     }
 
     /** Requests made. */
-    public int tries() {
+    public int requestCount() {
         return tries;
     }
 
     /** It asks now. */
-    public void asks() {
+    public void onRequestSent() {
         tries++;
     }
 
     /** Turned away. */
-    public Next refused(double now, double retryAfterMs) {
+    public Action onRefused(double now, double retryAfterMs) {
         return again(now, true, retryAfterMs, false);
     }
 
     /** The connection, or the session, was lost; a paid request that had no answer is not made again. */
-    public Next lost(double now, boolean mayAskAgain) {
+    public Action onConnectionLost(double now, boolean mayAskAgain) {
         leaveBuffer(now);
-        return mayAskAgain ? again(now, false, 0, true) : new Next.Done();
+        return mayAskAgain ? again(now, false, 0, true) : new Action.Done();
     }
 
     /** It left for want of rate; most who did so ask again. */
-    public Next gaveUp(double now) {
+    public Action onGaveUp(double now) {
         return again(now, false, 0, true);
     }
 
-    private Next again(double now, boolean refused, double retryAfterMs, boolean newToken) {
-        double wait = returning.wait(tries, refused, retryAfterMs);
-        return wait < 0 || now + wait > endsAt - WORTH_MS ? new Next.Done() : new Next.Ask(wait, newToken);
+    private Action again(double now, boolean refused, double retryAfterMs, boolean newToken) {
+        double wait = returning.nextDelayMs(tries, refused, retryAfterMs);
+        return wait < 0 || now + wait > endsAt - WORTH_MS ? new Action.Done() : new Action.Request(wait, newToken);
     }
 
     /** It plays: an MPD came. */
-    public Next plays(double now, List<Long> offered, double lengthOfSegmentMs, int numberOfSegments) {
-        returning.plays();
+    public Action onPlaying(double now, List<Long> offered, double lengthOfSegmentMs, int numberOfSegments) {
+        returning.onPlaying();
         ladder = offered;
         segmentMs = lengthOfSegmentMs;
         segments = numberOfSegments;
@@ -109,12 +109,12 @@
     }
 
     /** The rungs offered changed. */
-    public void offered(List<Long> now) {
+    public void onLadderChanged(List<Long> now) {
         ladder = now;
     }
 
     /** A fetch begins now. */
-    public void fetches(double now) {
+    public void onFetchStarted(double now) {
         askedAt = now;
     }
 
@@ -124,42 +124,43 @@
      * @param bits its length, all tracks together
      * @param lengthMs how long it plays
      */
-    public Next segment(double now, double bits, double lengthMs) {
+    public Action onSegmentReceived(double now, double bits, double lengthMs) {
         double took = now - askedAt;
-        meter.segment(bits, took);
+        meter.addSegment(bits, took);
         buffer.add(now, lengthMs);
         if (abandonment.leaves(now, took <= 0 ? 1 : lengthMs / took, buffer.stallMs())) {
             leaveBuffer(now);
-            return new Next.End(true);
+            return new Action.End(true);
         }
         return next(now);
     }
 
     /** A segment of the usual length came whole. */
-    public Next segment(double now, double bits) {
-        return segment(now, bits, segmentMs);
+    public Action onSegmentReceived(double now, double bits) {
+        return onSegmentReceived(now, bits, segmentMs);
     }
 
     /** A segment is under way; asked from time to time. Null: go on. */
-    public Next waits(double now) {
+    public Action checkPatience(double now) {
         buffer.advance(now);
         if (buffer.stallMs() > 0 && abandonment.leaves(now, 0, buffer.stallMs())) {
             leaveBuffer(now);
-            return new Next.End(true);
+            return new Action.End(true);
         }
         return null;
     }
 
-    private Next next(double now) {
+    private Action next(double now) {
         buffer.advance(now);
         if (now >= endsAt || number >= segments) {
             leaveBuffer(now);
-            return new Next.End(false);
+            return new Action.End(false);
         }
         number++;
-        int rung = rule.choose(new RateRule.View(ladder, buffer.heldMs(), BUFFER_MS, segmentMs, meter.bitsPerS()));
+        int rung = rule.selectRung(
+                new RungSelector.State(ladder, buffer.heldMs(), BUFFER_MS, segmentMs, meter.bitsPerS()));
         double wait = Math.max(0, buffer.heldMs() + segmentMs - BUFFER_MS);
-        return new Next.Fetch(wait, number, rung);
+        return new Action.Fetch(wait, number, rung);
     }
 
     /** Adds up what this session came to. */
--- a/model/src/main/java/spanrill/model/player/Returning.java
+++ b/model/src/main/java/spanrill/model/player/RetryPolicy.java
@@ -7,15 +7,15 @@
  * row, from a drawn base; who honours Retry-After waits at least that long, and draws what comes on top of it
  * so that those who were told the same don't come back at the same time.
  */
-public final class Returning {
-    private final Traits traits;
+public final class RetryPolicy {
+    private final ViewerTraits traits;
     private final UniformRandomProvider random;
     private final double leastMs;
     private final double mostMs;
     private int refusals;
 
     /** Waits from {@code leastMs} to {@code mostMs} the first time. */
-    public Returning(Traits traits, UniformRandomProvider random, double leastMs, double mostMs) {
+    public RetryPolicy(ViewerTraits traits, UniformRandomProvider random, double leastMs, double mostMs) {
         this.traits = traits;
         this.random = random;
         this.leastMs = leastMs;
@@ -23,7 +23,7 @@
     }
 
     /** It plays: the next refusal is the first again. */
-    public void plays() {
+    public void onPlaying() {
         refusals = 0;
     }
 
@@ -35,8 +35,8 @@
      * @param retryAfterMs told with it, 0 for nothing
      * @return the wait, or -1 when it doesn't come again
      */
-    public double wait(int tries, boolean refused, double retryAfterMs) {
-        if (tries >= traits.tries() || random.nextDouble() >= traits.returns()) {
+    public double nextDelayMs(int tries, boolean refused, double retryAfterMs) {
+        if (tries >= traits.maxRequests() || random.nextDouble() >= traits.returnProbability()) {
             return -1;
         }
         double base = leastMs + random.nextDouble() * (mostMs - leastMs);
@@ -45,7 +45,7 @@
         }
         double own = base * Math.pow(2, Math.min(refusals, 4));
         refusals++;
-        boolean heeds = traits.honours() && retryAfterMs > 0;
+        boolean heeds = traits.honoursRetryAfter() && retryAfterMs > 0;
         return heeds ? Math.max(own, retryAfterMs + random.nextDouble() * base) : own;
     }
 }
--- a/model/src/main/java/spanrill/model/player/RateRule.java
+++ b/model/src/main/java/spanrill/model/player/RungSelector.java
@@ -3,30 +3,31 @@
 import java.util.List;
 
 /** Chooses the rung of the next segment. */
-public interface RateRule {
+public interface RungSelector {
     /**
      * What a rule goes by.
      *
      * @param ladder bits a second of the rungs that are offered, rising
      * @param bufferMs media held
-     * @param bufferMostMs media held at most
+     * @param maxBufferMs media held at most
      * @param segmentMs length of a segment
-     * @param bitsPerS throughput as measured, NaN before the first segment
+     * @param throughputBitsPerS throughput as measured, NaN before the first segment
      */
-    record View(List<Long> ladder, double bufferMs, double bufferMostMs, double segmentMs, double bitsPerS) {}
+    record State(List<Long> ladder, double bufferMs, double maxBufferMs, double segmentMs, double throughputBitsPerS) {}
 
     /** Index of the rung on the ladder. */
-    int choose(View view);
+    int selectRung(State view);
 
     /**
      * The highest rung that a part of the throughput carries; the lowest before anything was measured. The
      * throughput is a harmonic mean, which one fast segment moves little (Jiang, Sekar and Zhang, FESTIVE,
      * CoNEXT 2012, section 4.3).
      */
-    static RateRule throughput(double part) {
+    static RungSelector throughput(double part) {
         return view -> {
             int rung = 0;
-            while (rung + 1 < view.ladder().size() && view.ladder().get(rung + 1) <= part * orZero(view.bitsPerS())) {
+            while (rung + 1 < view.ladder().size()
+                    && view.ladder().get(rung + 1) <= part * orZero(view.throughputBitsPerS())) {
                 rung++;
             }
             return rung;
@@ -40,7 +41,7 @@
      * held
      * and the highest at a full buffer.
      */
-    static RateRule bola() {
+    static RungSelector bola() {
         return view -> {
             List<Long> ladder = view.ladder();
             double top = Math.log((double) ladder.get(ladder.size() - 1) / ladder.get(0));
@@ -48,7 +49,7 @@
                 return 0;
             }
             double q = view.bufferMs() / view.segmentMs();
-            double g = top / (Math.max(2, view.bufferMostMs() / view.segmentMs()) - 1);
+            double g = top / (Math.max(2, view.maxBufferMs() / view.segmentMs()) - 1);
             double v = 1 / g;
             int best = 0;
             double bestScore = Double.NEGATIVE_INFINITY;
--- a/model/src/main/java/spanrill/model/player/ThroughputMeter.java
+++ b/model/src/main/java/spanrill/model/player/ThroughputMeter.java
@@ -13,7 +13,7 @@
     }
 
     /** A segment came. */
-    public void segment(double bits, double tookMs) {
+    public void addSegment(double bits, double tookMs) {
         inverse.add(Math.max(tookMs, 0.1) / 1000 / Math.max(1, bits));
         if (inverse.size() > window) {
             inverse.poll();
--- a/model/src/main/java/spanrill/model/trouble/TroublePlan.java
+++ b/model/src/main/java/spanrill/model/trouble/TroublePlan.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.PermutationSampler;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
 
 /** Works out what a day's troubles do to whom: the same troubles, fleet and seed, the same effects. */
 public final class TroublePlan {
@@ -19,20 +19,20 @@
     private static final int AGES = 5;
 
     /** How many of each there are. */
-    public record Fleet(int boxes, int racks, int halls, int fronts) {}
+    public record FleetSize(int boxes, int racks, int halls, int fronts) {}
 
-    private final Fleet fleet;
+    private final FleetSize fleet;
     private final List<Effect> effects = new ArrayList<>();
 
-    private TroublePlan(Fleet fleet) {
+    private TroublePlan(FleetSize fleet) {
         this.fleet = fleet;
     }
 
     /** All effects, in order of time. */
-    public static List<Effect> of(List<Trouble> troubles, Fleet fleet, long seed) {
+    public static List<Effect> computeEffects(List<Trouble> troubles, FleetSize fleet, long seed) {
         TroublePlan plan = new TroublePlan(fleet);
         for (int i = 0; i < troubles.size(); i++) {
-            plan.add(troubles.get(i), Draws.of(seed, "trouble" + i));
+            plan.add(troubles.get(i), RandomStreams.of(seed, "trouble" + i));
         }
         plan.effects.sort(Comparator.comparingDouble(Effect::atMs));
         return plan.effects;
@@ -57,55 +57,55 @@
         switch (trouble.kind()) {
             case CRASH ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxDies(at, box, "crash"));
+                    effects.add(new Effect.BoxStops(at, box, "crash"));
                     effects.add(new Effect.BoxStarts(end, box, true));
                 });
             case VANISH ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxMute(at, box));
-                    effects.add(new Effect.BoxDies(end, box, "vanished"));
+                    effects.add(new Effect.BoxHangs(at, box));
+                    effects.add(new Effect.BoxStops(end, box, "vanished"));
                     effects.add(new Effect.BoxStarts(end, box, false));
                 });
             case SLOW ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxSlow(at, box, SLOW));
-                    effects.add(new Effect.BoxSlow(end, box, 1));
+                    effects.add(new Effect.BoxSlowdown(at, box, SLOW));
+                    effects.add(new Effect.BoxSlowdown(end, box, 1));
                 });
             case SHARED_SLOW ->
                 some(random, fleet.racks(), trouble.part()).forEach(rack -> {
-                    effects.add(new Effect.RackUplink(at, rack, UPLINK));
-                    effects.add(new Effect.RackUplink(end, rack, 1));
+                    effects.add(new Effect.RackUplinkShare(at, rack, UPLINK));
+                    effects.add(new Effect.RackUplinkShare(end, rack, 1));
                 });
             case NEIGHBOUR ->
                 boxes.forEach(box -> {
                     // It takes 33 to 75 points of the link.
-                    effects.add(new Effect.BoxLink(at, box, 0.25 + 0.42 * random.nextDouble()));
-                    effects.add(new Effect.BoxLink(end, box, 1));
+                    effects.add(new Effect.BoxLinkShare(at, box, 0.25 + 0.42 * random.nextDouble()));
+                    effects.add(new Effect.BoxLinkShare(end, box, 1));
                 });
             case REPORT_LATE ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxNotesLate(at, box, LATE_MS));
-                    effects.add(new Effect.BoxNotesLate(end, box, 0));
+                    effects.add(new Effect.BoxNoteDelay(at, box, LATE_MS));
+                    effects.add(new Effect.BoxNoteDelay(end, box, 0));
                 });
             case ZONE_CUT -> {
                 int hall = random.nextInt(fleet.halls());
-                effects.add(new Effect.HallCut(at, hall, true));
-                effects.add(new Effect.HallCut(end, hall, false));
+                effects.add(new Effect.HallIsolation(at, hall, true));
+                effects.add(new Effect.HallIsolation(end, hall, false));
             }
             case ANSWER_LOST ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxAnswersLost(at, box, LOST));
-                    effects.add(new Effect.BoxAnswersLost(end, box, 0));
+                    effects.add(new Effect.BoxAnswerLoss(at, box, LOST));
+                    effects.add(new Effect.BoxAnswerLoss(end, box, 0));
                 });
             case BALANCER_CRASH ->
                 fronts.forEach(front -> {
-                    effects.add(new Effect.FrontDies(at, front));
+                    effects.add(new Effect.FrontStops(at, front));
                     effects.add(new Effect.FrontStarts(end, front));
                 });
             case BALANCER_STALL ->
                 fronts.forEach(front -> {
-                    effects.add(new Effect.FrontStalls(at, front, true));
-                    effects.add(new Effect.FrontStalls(end, front, false));
+                    effects.add(new Effect.FrontPause(at, front, true));
+                    effects.add(new Effect.FrontPause(end, front, false));
                 });
             case DEPLOY -> {
                 for (int i = 0; i < boxes.size(); i++) {
@@ -116,10 +116,10 @@
             case AGEING ->
                 boxes.forEach(box -> {
                     for (int i = 0; i < AGES; i++) {
-                        effects.add(new Effect.BoxSlow(at + trouble.forMs() * i / AGES, box, 1 + 2 * i));
+                        effects.add(new Effect.BoxSlowdown(at + trouble.forMs() * i / AGES, box, 1 + 2 * i));
                     }
-                    effects.add(new Effect.BoxSlow(end, box, 1));
-                    effects.add(new Effect.BoxDies(end, box, "aged"));
+                    effects.add(new Effect.BoxSlowdown(end, box, 1));
+                    effects.add(new Effect.BoxStops(end, box, "aged"));
                     effects.add(new Effect.BoxStarts(end, box, false));
                 });
             // Crowds are arrivals, not effects.
@@ -130,7 +130,7 @@
 
     private void replace(double at, int box, double leaveMs) {
         effects.add(new Effect.BoxDrains(at, box));
-        effects.add(new Effect.BoxDies(at + leaveMs, box, "replaced"));
+        effects.add(new Effect.BoxStops(at + leaveMs, box, "replaced"));
         effects.add(new Effect.BoxStarts(at + leaveMs + BACK_MS, box, false));
     }
 }
--- a/model/src/test/java/spanrill/model/DistributionsTest.java
+++ b/model/src/test/java/spanrill/model/DistributionsTest.java
@@ -7,9 +7,9 @@
 import java.util.function.DoubleUnaryOperator;
 import java.util.stream.DoubleStream;
 import org.junit.jupiter.api.Test;
-import spanrill.model.crowd.Arrivals;
-import spanrill.model.crowd.Rate;
-import spanrill.model.player.Abandonment;
+import spanrill.model.crowd.ArrivalRate;
+import spanrill.model.crowd.PoissonArrivals;
+import spanrill.model.player.AbandonmentModel;
 
 /**
  * Draws against the distributions that they are stated to have, by Kolmogorov and Smirnov at a level of 1%,
@@ -44,8 +44,8 @@
         return gaps;
     }
 
-    private static double[] times(Rate rate, String purpose) {
-        return Arrivals.times(Draws.of(11, purpose), rate, 0, 600_000).stream()
+    private static double[] times(ArrivalRate rate, String purpose) {
+        return PoissonArrivals.times(RandomStreams.of(11, purpose), rate, 0, 600_000).stream()
                 .mapToDouble(Double::doubleValue)
                 .toArray();
     }
@@ -53,15 +53,15 @@
     @Test
     void arrivalsArePoissonWithTheirRate() {
         DoubleUnaryOperator steady = t -> 10 * t / 1000;
-        assertTrue(uniform(gaps(times(Rate.steady(10), "steady"), steady, 1)));
-        assertFalse(uniform(gaps(times(Rate.steady(10), "steady"), steady, 1.1)));
+        assertTrue(uniform(gaps(times(ArrivalRate.constant(10), "steady"), steady, 1)));
+        assertFalse(uniform(gaps(times(ArrivalRate.constant(10), "steady"), steady, 1.1)));
         double length = 90_000;
         DoubleUnaryOperator wave =
                 t -> 10 * (t + 0.6 * length / (2 * Math.PI) * (1 - Math.cos(2 * Math.PI * t / length))) / 1000;
-        assertTrue(uniform(gaps(times(Rate.wave(10, 0.6, length), "wave"), wave, 1)));
-        assertFalse(uniform(gaps(times(Rate.wave(10, 0.6, length), "wave"), steady, 1)), "the wave is seen");
+        assertTrue(uniform(gaps(times(ArrivalRate.wave(10, 0.6, length), "wave"), wave, 1)));
+        assertFalse(uniform(gaps(times(ArrivalRate.wave(10, 0.6, length), "wave"), steady, 1)), "the wave is seen");
         DoubleUnaryOperator whistle = t -> t < 5000 ? 0 : 900 * 4 * (1 - Math.exp((5000 - t) / 4000));
-        assertTrue(uniform(gaps(times(Rate.flashCrowd(900, 5000, 4000), "whistle"), whistle, 1)));
+        assertTrue(uniform(gaps(times(ArrivalRate.flashCrowd(900, 5000, 4000), "whistle"), whistle, 1)));
     }
 
     /** The hazard adds up to an exponential with mean 1 at the time of leaving. */
@@ -69,7 +69,7 @@
         return DoubleStream.iterate(0, i -> i + 1)
                 .limit(4000)
                 .map(i -> {
-                    Abandonment abandonment = new Abandonment(0.75, Draws.of(17 + (long) i));
+                    AbandonmentModel abandonment = new AbandonmentModel(0.75, RandomStreams.of(17 + (long) i));
                     double sum = 0;
                     double before = 0;
                     double stepMs = 10;
@@ -77,9 +77,9 @@
                         boolean leaves = abandonment.leaves(t, delivered, 0);
                         // Within its step the time of leaving is not known; it is drawn.
                         before = sum;
-                        sum += t == 0 ? 0 : hazard * Math.max(0, 0.75 - abandonment.share()) * stepMs / 1000;
+                        sum += t == 0 ? 0 : hazard * Math.max(0, 0.75 - abandonment.smoothedShare()) * stepMs / 1000;
                         if (leaves) {
-                            double within = Draws.of(91 + (long) i).nextDouble();
+                            double within = RandomStreams.of(91 + (long) i).nextDouble();
                             return 1 - Math.exp(-(before + within * (sum - before)));
                         }
                     }
@@ -96,11 +96,12 @@
 
     @Test
     void betweenIsUniformAndExponentialIsExponential() {
-        var random = Draws.of(5, "x");
-        assertTrue(uniform(DoubleStream.generate(() -> (Draws.between(random, java.util.List.of(3.0, 7.0)) - 3) / 4)
+        var random = RandomStreams.of(5, "x");
+        assertTrue(uniform(DoubleStream.generate(
+                        () -> (RandomStreams.uniform(random, java.util.List.of(3.0, 7.0)) - 3) / 4)
                 .limit(5000)
                 .toArray()));
-        assertTrue(uniform(DoubleStream.generate(() -> 1 - Math.exp(-Draws.exponential(random, 20) / 20))
+        assertTrue(uniform(DoubleStream.generate(() -> 1 - Math.exp(-RandomStreams.exponential(random, 20) / 20))
                 .limit(5000)
                 .toArray()));
     }
--- a/model/src/test/java/spanrill/model/link/LinkNetworkTest.java
+++ b/model/src/test/java/spanrill/model/link/LinkNetworkTest.java
@@ -32,10 +32,12 @@
         int rack = box / 3;
         double through = 0;
         for (int other = rack * 3; other < rack * 3 + 3; other++) {
-            through += Math.min(network.asked(other), network.gives(other));
+            through += Math.min(network.requestedBytesPerS(other), network.linkCapacity(other));
         }
-        double own = network.asked(box) <= network.gives(box) ? 1 : (double) network.gives(box) / network.asked(box);
-        return own * (through <= network.uplinkGives(rack) ? 1 : network.uplinkGives(rack) / through);
+        double own = network.requestedBytesPerS(box) <= network.linkCapacity(box)
+                ? 1
+                : (double) network.linkCapacity(box) / network.requestedBytesPerS(box);
+        return own * (through <= network.uplinkCapacity(rack) ? 1 : network.uplinkCapacity(rack) / through);
     }
 
     /**
@@ -51,31 +53,31 @@
         for (int i = 0; i < changes; i++) {
             now += random.nextInt(50);
             switch (flows.isEmpty() ? 0 : random.nextInt(5)) {
-                case 0, 1 -> flows.add(network.join(now, random.nextInt(6), random.nextInt(900)));
-                case 2 -> network.leave(now, flows.remove(random.nextInt(flows.size())));
-                case 3 -> network.rate(now, flows.get(random.nextInt(flows.size())), random.nextInt(900));
+                case 0, 1 -> flows.add(network.addFlow(now, random.nextInt(6), random.nextInt(900)));
+                case 2 -> network.removeFlow(now, flows.remove(random.nextInt(flows.size())));
+                case 3 -> network.setRate(now, flows.get(random.nextInt(flows.size())), random.nextInt(900));
                 default -> {
                     if (random.nextBoolean()) {
-                        network.give(now, random.nextInt(6), random.nextInt(2000));
+                        network.setLinkCapacity(now, random.nextInt(6), random.nextInt(2000));
                     } else {
-                        network.giveUplink(now, random.nextInt(2), random.nextInt(4000));
+                        network.setUplinkCapacity(now, random.nextInt(2), random.nextInt(4000));
                     }
                 }
             }
             for (int box = 0; box < 6; box++) {
                 assertEquals(expected(network, box), network.share(box), 1e-12);
-                assertTrue(network.asked(box) * network.share(box) <= network.gives(box) + 1e-6);
+                assertTrue(network.requestedBytesPerS(box) * network.share(box) <= network.linkCapacity(box) + 1e-6);
             }
             for (int rack = 0; rack < 2; rack++) {
                 double carried = 0;
                 double through = 0;
                 for (int box = rack * 3; box < rack * 3 + 3; box++) {
-                    carried += network.asked(box) * network.share(box);
-                    through += Math.min(network.asked(box), network.gives(box));
+                    carried += network.requestedBytesPerS(box) * network.share(box);
+                    through += Math.min(network.requestedBytesPerS(box), network.linkCapacity(box));
                 }
-                assertTrue(carried <= network.uplinkGives(rack) + 1e-6);
+                assertTrue(carried <= network.uplinkCapacity(rack) + 1e-6);
                 // Nothing is wasted that the rule doesn't say: an uplink is full, or lets all through.
-                assertEquals(Math.min(through, network.uplinkGives(rack)), carried, 1e-6);
+                assertEquals(Math.min(through, network.uplinkCapacity(rack)), carried, 1e-6);
             }
         }
     }
@@ -89,12 +91,12 @@
             flows.add(new int[] {random.nextInt(6), random.nextInt(900)});
         }
         LinkNetwork one = network(new Random(seed));
-        flows.forEach(f -> one.join(0, f[0], f[1]));
+        flows.forEach(f -> one.addFlow(0, f[0], f[1]));
         Collections.shuffle(flows, random);
         LinkNetwork other = network(new Random(seed));
-        flows.forEach(f -> other.join(0, f[0], f[1]));
-        Flow passing = other.join(0, 2, 777);
-        other.leave(0, passing);
+        flows.forEach(f -> other.addFlow(0, f[0], f[1]));
+        Flow passing = other.addFlow(0, 2, 777);
+        other.removeFlow(0, passing);
         for (int box = 0; box < 6; box++) {
             assertEquals(one.share(box), other.share(box));
         }
@@ -106,11 +108,11 @@
         int rack = network.addRack(1000);
         int a = network.addBox(rack, 2000);
         int b = network.addBox(rack, 2000);
-        network.join(0, a, 1000);
-        network.join(0, b, 1000);
+        network.addFlow(0, a, 1000);
+        network.addFlow(0, b, 1000);
         assertEquals(0.5, network.share(a));
-        assertEquals(0.5, network.linkUse(a));
-        assertEquals(2, network.uplinkUse(rack));
+        assertEquals(0.5, network.linkUtilization(a));
+        assertEquals(2, network.uplinkUtilization(rack));
     }
 
     @Test
@@ -120,15 +122,15 @@
         int box = network.addBox(rack, 40_000);
         List<Flow> flows = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            flows.add(network.join(0, box, 500 + i * 25));
+            flows.add(network.addFlow(0, box, 500 + i * 25));
         }
-        network.give(1000, box, 10_000);
-        double share = 10_000.0 / network.asked(box);
+        network.setLinkCapacity(1000, box, 10_000);
+        double share = 10_000.0 / network.requestedBytesPerS(box);
         for (Flow flow : flows) {
             double inTheFirst = flow.rate();
-            assertEquals(inTheFirst + flow.rate() * share, network.granted(2000, flow), 1e-6);
+            assertEquals(inTheFirst + flow.rate() * share, network.grantedBytes(2000, flow), 1e-6);
         }
-        network.give(2000, box, 40_000);
+        network.setLinkCapacity(2000, box, 40_000);
         assertEquals(1, network.share(box));
     }
 
@@ -136,44 +138,44 @@
     void whatIsGrantedAddsUpOverChangesOfRate() {
         LinkNetwork network = new LinkNetwork();
         int box = network.addBox(network.addRack(1000), 1000);
-        Flow flow = network.join(0, box, 400);
-        network.rate(500, flow, 800);
-        Flow other = network.join(1000, box, 800);
-        assertEquals(200 + 400, network.granted(1000, flow), 1e-9);
-        assertEquals(200 + 400 + 500, network.leave(2000, flow), 1e-9);
-        assertEquals(500 + 800, network.granted(3000, other), 1e-9);
-        assertThrows(IllegalArgumentException.class, () -> network.leave(3000, flow));
+        Flow flow = network.addFlow(0, box, 400);
+        network.setRate(500, flow, 800);
+        Flow other = network.addFlow(1000, box, 800);
+        assertEquals(200 + 400, network.grantedBytes(1000, flow), 1e-9);
+        assertEquals(200 + 400 + 500, network.removeFlow(2000, flow), 1e-9);
+        assertEquals(500 + 800, network.grantedBytes(3000, other), 1e-9);
+        assertThrows(IllegalArgumentException.class, () -> network.removeFlow(3000, flow));
     }
 
     @Test
     void aLinkThatGivesNothingGrantsNothing() {
         LinkNetwork network = new LinkNetwork();
         int box = network.addBox(network.addRack(1000), 0);
-        Flow flow = network.join(0, box, 400);
-        assertEquals(0, network.granted(5000, flow));
-        assertEquals(Double.POSITIVE_INFINITY, network.linkUse(box));
+        Flow flow = network.addFlow(0, box, 400);
+        assertEquals(0, network.grantedBytes(5000, flow));
+        assertEquals(Double.POSITIVE_INFINITY, network.linkUtilization(box));
     }
 
     @Test
     void timeAndRatesAreChecked() {
         LinkNetwork network = new LinkNetwork();
         int box = network.addBox(network.addRack(1000), 1000);
-        network.join(10, box, 1);
-        assertThrows(IllegalArgumentException.class, () -> network.join(9, box, 1));
-        assertThrows(IllegalArgumentException.class, () -> network.join(11, box, -1));
-        assertThrows(IllegalArgumentException.class, () -> network.give(11, box, Long.MAX_VALUE));
+        network.addFlow(10, box, 1);
+        assertThrows(IllegalArgumentException.class, () -> network.addFlow(9, box, 1));
+        assertThrows(IllegalArgumentException.class, () -> network.addFlow(11, box, -1));
+        assertThrows(IllegalArgumentException.class, () -> network.setLinkCapacity(11, box, Long.MAX_VALUE));
     }
 
     @Test
     void aBucketLetsCatchUpOnlyForAShortTime() {
-        FlowBucket bucket = new FlowBucket(100);
-        bucket.granted(500, 1);
-        assertEquals(100, bucket.whole());
-        bucket.spend(100);
-        bucket.granted(550.5, 1);
-        assertEquals(50, bucket.whole());
-        bucket.spend(50);
-        bucket.granted(551, 1);
-        assertEquals(1, bucket.whole(), "fractions are kept");
+        FlowTokenBucket bucket = new FlowTokenBucket(100);
+        bucket.addGranted(500, 1);
+        assertEquals(100, bucket.availableBytes());
+        bucket.consume(100);
+        bucket.addGranted(550.5, 1);
+        assertEquals(50, bucket.availableBytes());
+        bucket.consume(50);
+        bucket.addGranted(551, 1);
+        assertEquals(1, bucket.availableBytes(), "fractions are kept");
     }
 }
--- a/model/src/test/java/spanrill/model/player/PlayerTest.java
+++ b/model/src/test/java/spanrill/model/player/PlayerTest.java
@@ -10,20 +10,20 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
-import spanrill.model.Draws;
-import spanrill.model.player.Player.Next;
+import spanrill.model.RandomStreams;
+import spanrill.model.player.Player.Action;
 
 class PlayerTest {
     private static final List<Long> LADDER = List.of(1_000_000L, 2_000_000L, 4_000_000L, 8_000_000L);
 
-    private static Traits traits(double watchMs, double returns, boolean honours, boolean bola, long seed) {
-        return new Traits(
+    private static ViewerTraits traits(double watchMs, double returns, boolean honours, boolean bola, long seed) {
+        return new ViewerTraits(
                 "free", 0, 0, watchMs, 3, 3000, -1, false, false, honours, returns, 5, 0.75, false, bola, seed);
     }
 
     private static Player player(double watchMs, boolean bola) {
         Player player = new Player(traits(watchMs, 1, true, bola, 1), 0, List.of(1000.0, 2000.0));
-        player.asks();
+        player.onRequestSent();
         return player;
     }
 
@@ -31,14 +31,14 @@
     private static List<Integer> play(Player player, double bitsPerS, double untilMs) {
         List<Integer> rungs = new java.util.ArrayList<>();
         double now = 0;
-        Next next = player.plays(now, LADDER, 1000, 10_000);
-        while (next instanceof Next.Fetch fetch && now < untilMs) {
+        Action next = player.onPlaying(now, LADDER, 1000, 10_000);
+        while (next instanceof Action.Fetch fetch && now < untilMs) {
             now += fetch.afterMs();
-            player.fetches(now);
+            player.onFetchStarted(now);
             rungs.add(fetch.rung());
             double bits = LADDER.get(fetch.rung());
             now += bits / bitsPerS * 1000;
-            next = player.segment(now, bits);
+            next = player.onSegmentReceived(now, bits);
         }
         return rungs;
     }
@@ -75,56 +75,56 @@
     @Test
     void aSegmentThatNeverComesIsLeftInTheEnd() {
         Player player = player(120_000, false);
-        player.plays(0, LADDER, 1000, 1000);
-        player.fetches(0);
-        player.segment(100, 1_000_000);
-        Next next = null;
+        player.onPlaying(0, LADDER, 1000, 1000);
+        player.onFetchStarted(0);
+        player.onSegmentReceived(100, 1_000_000);
+        Action next = null;
         double now = 100;
         while (next == null && now < 60_000) {
             now += 500;
-            next = player.waits(now);
+            next = player.checkPatience(now);
         }
-        assertEquals(new Next.End(true), next);
+        assertEquals(new Action.End(true), next);
         assertTrue(now < 12_000, "after " + now);
     }
 
     @Test
     void itEndsWhenItsTimeIsUpOrTheTitleIs() {
         Player player = player(5000, false);
-        Next next = player.plays(0, LADDER, 1000, 2);
+        Action next = player.onPlaying(0, LADDER, 1000, 2);
         for (int i = 1; i <= 2; i++) {
-            assertEquals(i, assertInstanceOf(Next.Fetch.class, next).number());
-            next = player.segment(i * 10, 1_000_000);
+            assertEquals(i, assertInstanceOf(Action.Fetch.class, next).number());
+            next = player.onSegmentReceived(i * 10, 1_000_000);
         }
-        assertEquals(new Next.End(false), next);
+        assertEquals(new Action.End(false), next);
     }
 
     @Test
     void aRefusedViewerWaitsLongerEachTimeAndHonoursWhatItIsTold() {
-        Returning returning = new Returning(traits(1e9, 1, true, false, 3), Draws.of(3), 100, 200);
-        double first = returning.wait(1, true, 5000);
+        RetryPolicy returning = new RetryPolicy(traits(1e9, 1, true, false, 3), RandomStreams.of(3), 100, 200);
+        double first = returning.nextDelayMs(1, true, 5000);
         assertTrue(first >= 5000 && first <= 5200, "honoured, and spread: " + first);
-        Returning own = new Returning(traits(1e9, 1, false, false, 3), Draws.of(3), 100, 200);
+        RetryPolicy own = new RetryPolicy(traits(1e9, 1, false, false, 3), RandomStreams.of(3), 100, 200);
         double before = 0;
         for (int i = 0; i < 4; i++) {
-            double wait = own.wait(1, true, 5000);
+            double wait = own.nextDelayMs(1, true, 5000);
             assertTrue(wait >= 100 * Math.pow(2, i) && wait <= 200 * Math.pow(2, i), i + ": " + wait);
             assertTrue(wait > before * 0.9);
             before = wait;
         }
-        own.plays();
-        assertTrue(own.wait(1, true, 0) <= 200);
-        assertEquals(-1, own.wait(5, true, 0), "no more tries");
+        own.onPlaying();
+        assertTrue(own.nextDelayMs(1, true, 0) <= 200);
+        assertEquals(-1, own.nextDelayMs(5, true, 0), "no more tries");
     }
 
     @Test
     void aPaidRequestWithoutAnAnswerIsNotMadeAgain() {
-        assertEquals(new Next.Done(), player(60_000, false).lost(10, false));
+        assertEquals(new Action.Done(), player(60_000, false).onConnectionLost(10, false));
         assertEquals(
                 true,
-                assertInstanceOf(Next.Ask.class, player(60_000, false).lost(10, true))
+                assertInstanceOf(Action.Request.class, player(60_000, false).onConnectionLost(10, true))
                         .newToken());
-        assertFalse(assertInstanceOf(Next.Ask.class, player(60_000, false).refused(10, 0))
+        assertFalse(assertInstanceOf(Action.Request.class, player(60_000, false).onRefused(10, 0))
                 .newToken());
     }
 
@@ -139,7 +139,7 @@
             now += gap;
             buffer.add(now, 1000);
             added += 1000;
-            startedAt = Double.isNaN(startedAt) && buffer.playing() ? now : startedAt;
+            startedAt = Double.isNaN(startedAt) && buffer.isPlaying() ? now : startedAt;
             assertEquals(added, buffer.playedMs() + buffer.heldMs(), 1e-6);
             if (!Double.isNaN(startedAt)) {
                 assertEquals(now - startedAt, buffer.playedMs() + buffer.stalledMs(), 1e-6);
@@ -153,24 +153,24 @@
     void bolaRisesWithTheBuffer(
             @ForAll @DoubleRange(min = 0, max = 20_000) double a,
             @ForAll @DoubleRange(min = 0, max = 20_000) double b) {
-        RateRule bola = RateRule.bola();
-        int low = bola.choose(new RateRule.View(LADDER, Math.min(a, b), 20_000, 2000, Double.NaN));
-        int high = bola.choose(new RateRule.View(LADDER, Math.max(a, b), 20_000, 2000, Double.NaN));
+        RungSelector bola = RungSelector.bola();
+        int low = bola.selectRung(new RungSelector.State(LADDER, Math.min(a, b), 20_000, 2000, Double.NaN));
+        int high = bola.selectRung(new RungSelector.State(LADDER, Math.max(a, b), 20_000, 2000, Double.NaN));
         assertTrue(low <= high);
-        assertEquals(0, bola.choose(new RateRule.View(LADDER, 0, 20_000, 2000, Double.NaN)));
-        assertEquals(3, bola.choose(new RateRule.View(LADDER, 20_000, 20_000, 2000, Double.NaN)));
+        assertEquals(0, bola.selectRung(new RungSelector.State(LADDER, 0, 20_000, 2000, Double.NaN)));
+        assertEquals(3, bola.selectRung(new RungSelector.State(LADDER, 20_000, 20_000, 2000, Double.NaN)));
     }
 
     @Test
     void viewersGoOnComingToADeadFrontForAWhile() {
-        FrontChoice choice = new FrontChoice(4, 2, 1000, 4000);
-        choice.down(0, 0);
-        assertEquals(0, choice.pick(500, 0, 0.1));
-        assertEquals(2, choice.pick(5000, 0, 0.1), "another of its hall");
-        choice.down(0, 2);
-        assertTrue(choice.pick(9000, 0, 0.1) % 2 == 1, "one of another hall");
-        choice.up(0);
-        assertEquals(0, choice.pick(9000, 0, 0.1));
-        assertEquals(0, new FrontChoice(1, 1, 0, 0).pick(0, 0, 1));
+        FrontSelector choice = new FrontSelector(4, 2, 1000, 4000);
+        choice.markDown(0, 0);
+        assertEquals(0, choice.select(500, 0, 0.1));
+        assertEquals(2, choice.select(5000, 0, 0.1), "another of its hall");
+        choice.markDown(0, 2);
+        assertTrue(choice.select(9000, 0, 0.1) % 2 == 1, "one of another hall");
+        choice.markUp(0);
+        assertEquals(0, choice.select(9000, 0, 0.1));
+        assertEquals(0, new FrontSelector(1, 1, 0, 0).select(0, 0, 1));
     }
 }
--- a/model/src/test/java/spanrill/model/trouble/TroublePlanTest.java
+++ b/model/src/test/java/spanrill/model/trouble/TroublePlanTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class TroublePlanTest {
-    private static final TroublePlan.Fleet FLEET = new TroublePlan.Fleet(20, 4, 3, 5);
+    private static final TroublePlan.FleetSize FLEET = new TroublePlan.FleetSize(20, 4, 3, 5);
 
     private static List<Effect> plan(Kind kind, long seed) {
-        return TroublePlan.of(List.of(new Trouble(kind, 1000, 5000, 0.4)), FLEET, seed);
+        return TroublePlan.computeEffects(List.of(new Trouble(kind, 1000, 5000, 0.4)), FLEET, seed);
     }
 
     @ParameterizedTest
@@ -40,30 +40,30 @@
         Map<Integer, Boolean> fronts = new HashMap<>();
         Map<String, Double> set = new HashMap<>();
         for (Effect effect : plan(kind, 3)) {
-            if (effect instanceof Effect.BoxDies e) {
+            if (effect instanceof Effect.BoxStops e) {
                 up.put(e.box(), false);
             } else if (effect instanceof Effect.BoxStarts e) {
                 up.put(e.box(), true);
-            } else if (effect instanceof Effect.BoxMute e) {
+            } else if (effect instanceof Effect.BoxHangs e) {
                 up.put(e.box(), false);
-            } else if (effect instanceof Effect.FrontDies e) {
+            } else if (effect instanceof Effect.FrontStops e) {
                 fronts.put(e.front(), false);
             } else if (effect instanceof Effect.FrontStarts e) {
                 fronts.put(e.front(), true);
-            } else if (effect instanceof Effect.FrontStalls e) {
-                fronts.put(e.front(), !e.on());
-            } else if (effect instanceof Effect.BoxSlow e) {
-                set.put("slow" + e.box(), e.times() - 1);
-            } else if (effect instanceof Effect.BoxLink e) {
+            } else if (effect instanceof Effect.FrontPause e) {
+                fronts.put(e.front(), !e.paused());
+            } else if (effect instanceof Effect.BoxSlowdown e) {
+                set.put("slow" + e.box(), e.factor() - 1);
+            } else if (effect instanceof Effect.BoxLinkShare e) {
                 set.put("link" + e.box(), 1 - e.share());
-            } else if (effect instanceof Effect.BoxNotesLate e) {
-                set.put("late" + e.box(), e.ms());
-            } else if (effect instanceof Effect.BoxAnswersLost e) {
+            } else if (effect instanceof Effect.BoxNoteDelay e) {
+                set.put("late" + e.box(), e.delayMs());
+            } else if (effect instanceof Effect.BoxAnswerLoss e) {
                 set.put("lost" + e.box(), e.share());
-            } else if (effect instanceof Effect.RackUplink e) {
+            } else if (effect instanceof Effect.RackUplinkShare e) {
                 set.put("rack" + e.rack(), 1 - e.share());
-            } else if (effect instanceof Effect.HallCut e) {
-                set.put("hall" + e.hall(), e.on() ? 1.0 : 0);
+            } else if (effect instanceof Effect.HallIsolation e) {
+                set.put("hall" + e.hall(), e.isolated() ? 1.0 : 0);
             }
         }
         assertFalse(up.containsValue(false), up.toString());
@@ -74,7 +74,7 @@
     @Test
     void thePartSaysHowMany() {
         List<Effect> effects = new ArrayList<>(plan(Kind.CRASH, 1));
-        effects.removeIf(e -> !(e instanceof Effect.BoxDies));
+        effects.removeIf(e -> !(e instanceof Effect.BoxStops));
         assertEquals(8, effects.size());
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/BoxFleet.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxFleet.java
@@ -45,21 +45,21 @@
         FleetPlan plan = FleetPlan.of(day, seed);
         double bytes = 1000 * day.byteScale();
         linkBytes = new long[plan.boxes().size()];
-        uplinkBytes = new long[plan.uplinksKb().size()];
+        uplinkBytes = new long[plan.uplinksKbytesPerS().size()];
         for (int r = 0; r < uplinkBytes.length; r++) {
-            uplinkBytes[r] = Math.round(plan.uplinksKb().get(r) * bytes);
+            uplinkBytes[r] = Math.round(plan.uplinksKbytesPerS().get(r) * bytes);
             network.addRack(uplinkBytes[r]);
         }
         ledger = new FlowLedger(network, receipts, rows);
         for (FleetPlan.Box box : plan.boxes()) {
-            linkBytes[box.cell()] = Math.round(box.linkKb() * bytes);
+            linkBytes[box.cell()] = Math.round(box.linkKbytesPerS() * bytes);
             network.addBox(box.rack(), linkBytes[box.cell()]);
             boxes.add(new StandinBox(
                     box.id(),
                     box.zone(),
                     box.cell(),
                     box.rack(),
-                    box.linkKb(),
+                    box.linkKbytesPerS(),
                     network,
                     day,
                     loop,
@@ -115,12 +115,12 @@
 
     /** A box's link gives this share. */
     public void link(int box, double share) {
-        network.give(tap.nowMs(), box, Math.round(linkBytes[box] * share));
+        network.setLinkCapacity(tap.nowMs(), box, Math.round(linkBytes[box] * share));
     }
 
     /** A rack's uplink gives this share. */
     public void uplink(int rack, double share) {
-        network.giveUplink(tap.nowMs(), rack, Math.round(uplinkBytes[rack] * share));
+        network.setUplinkCapacity(tap.nowMs(), rack, Math.round(uplinkBytes[rack] * share));
     }
 
     /** Time that the loop spent in the model of links, ms; on the loop. */
--- a/standin/src/main/java/spanrill/standin/box/BoxSession.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxSession.java
@@ -1,7 +1,7 @@
 package spanrill.standin.box;
 
 import spanrill.model.box.BoxProcess;
-import spanrill.model.link.FlowBucket;
+import spanrill.model.link.FlowTokenBucket;
 import spanrill.model.link.LinkNetwork.Flow;
 
 /** A session at a box. */
@@ -17,7 +17,7 @@
     final String title;
     final double scale;
     final int floor;
-    final FlowBucket bucket = new FlowBucket(CATCH_UP_MS);
+    final FlowTokenBucket bucket = new FlowTokenBucket(CATCH_UP_MS);
     Flow flow;
     /** The process that it plays at. */
     BoxProcess process;
--- a/standin/src/main/java/spanrill/standin/box/BoxShaper.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxShaper.java
@@ -30,7 +30,7 @@
 
     BoxShaper(Day day, LinkNetwork network, int cell, Condition condition, ModelTime modelTime) {
         this.day = day;
-        timeline = Timeline.repeating(day.titles().durationMs(), day.titles().lengthsMs());
+        timeline = Timeline.repeating(day.titles().durationMs(), day.titles().segmentLengthsMs());
         this.network = network;
         this.cell = cell;
         this.condition = condition;
@@ -46,16 +46,16 @@
     }
 
     void join(double now, BoxSession session) {
-        modelTime.of(() -> session.flow = network.join(now, cell, rate(session)));
+        modelTime.of(() -> session.flow = network.addFlow(now, cell, rate(session)));
     }
 
     void leave(double now, BoxSession session) {
-        modelTime.of(() -> network.leave(now, session.flow));
+        modelTime.of(() -> network.removeFlow(now, session.flow));
     }
 
     void rung(double now, BoxSession session, int rung) {
         session.rung = rung;
-        modelTime.of(() -> network.rate(now, session.flow, rate(session)));
+        modelTime.of(() -> network.setRate(now, session.flow, rate(session)));
     }
 
     void clear() {
@@ -130,14 +130,14 @@
         double share = network.share(cell);
         for (BoxSession session : sessions) {
             double perMs = session.flow.rate() * share / 1000;
-            session.bucket.granted(network.granted(now, session.flow), perMs);
+            session.bucket.addGranted(network.grantedBytes(now, session.flow), perMs);
             session.hadRoom |= share >= 1;
             if (session.transfers == 0) {
                 session.idleMs += ms;
             } else if (share >= 1) {
                 // Where the link has room a player may fill its buffer.
                 double boost = session.segments <= START_SEGMENTS ? START_BOOST : STEADY_BOOST;
-                session.bucket.extra(perMs * ms * (boost - 1));
+                session.bucket.addBurst(perMs * ms * (boost - 1));
             }
         }
     }
--- a/standin/src/main/java/spanrill/standin/box/BoxTeller.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxTeller.java
@@ -43,8 +43,8 @@
 
     /** A session began: its front hears how full things are now. */
     void began(BoxSession session) {
-        notes.tell(session.front, new Note(Note.Kind.LINK, session.key, shown(network.linkUse(cell))));
-        notes.tell(session.front, new Note(Note.Kind.UPLINK, session.key, shown(network.uplinkUse(rack))));
+        notes.tell(session.front, new Note(Note.Kind.LINK, session.key, shown(network.linkUtilization(cell))));
+        notes.tell(session.front, new Note(Note.Kind.UPLINK, session.key, shown(network.uplinkUtilization(rack))));
     }
 
     void ended(BoxSession session) {
@@ -77,8 +77,8 @@
 
     /** At the stated interval: how full link and uplink are, on one session of each front. */
     void use(Collection<BoxSession> sessions, Predicate<BoxSession> still) {
-        shownLink = shown(network.linkUse(cell));
-        shownUplink = shown(network.uplinkUse(rack));
+        shownLink = shown(network.linkUtilization(cell));
+        shownUplink = shown(network.uplinkUtilization(rack));
         Set<Integer> told = new HashSet<>();
         for (BoxSession session : sessions) {
             if (told.add(session.front)) {
--- a/standin/src/main/java/spanrill/standin/box/FlowLedger.java
+++ b/standin/src/main/java/spanrill/standin/box/FlowLedger.java
@@ -33,13 +33,13 @@
         long[] changes = new long[boxes.size()];
         boolean[] moved = new boolean[boxes.size()];
         for (StandinBox box : boxes) {
-            changes[box.cell()] = network.changes(box.cell());
+            changes[box.cell()] = network.shareChanges(box.cell());
             moved[box.rack()] |= changesBefore.length == 0 || changes[box.cell()] != changesBefore[box.cell()];
         }
         changesBefore = changes;
         for (StandinBox box : boxes) {
             for (BoxSession session : box.sessions()) {
-                double granted = network.granted(now, session.flow);
+                double granted = network.grantedBytes(now, session.flow);
                 long received = receipts.sum(session.token);
                 // A session that began within the second has no whole second to show.
                 if (session.receivedBefore >= 0 && ms > 0) {
@@ -52,8 +52,8 @@
                             box.rack(),
                             session.rung,
                             session.flow.rate(),
-                            network.gives(box.cell()),
-                            network.uplinkGives(box.rack()),
+                            network.linkCapacity(box.cell()),
+                            network.uplinkCapacity(box.rack()),
                             granted - session.grantedBefore,
                             received - session.receivedBefore,
                             ms,
--- a/standin/src/main/java/spanrill/standin/box/StandinBox.java
+++ b/standin/src/main/java/spanrill/standin/box/StandinBox.java
@@ -17,9 +17,9 @@
 import spanrill.check.EventRecorder;
 import spanrill.check.TraceEvent;
 import spanrill.day.Day;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
+import spanrill.model.box.BoxParameters;
 import spanrill.model.box.BoxProcess;
-import spanrill.model.box.BoxRules;
 import spanrill.model.link.LinkNetwork;
 import spanrill.standin.Net;
 import spanrill.wire.box.BoxLink;
@@ -43,7 +43,7 @@
     private final UniformRandomProvider random;
     private final Condition condition = new Condition();
     private final Map<String, BoxSession> sessions = new LinkedHashMap<>();
-    private final BoxRules rules;
+    private final BoxParameters rules;
     private final BoxShaper shaper;
     private final BoxTeller teller;
     private final BoxNotes notes;
@@ -77,10 +77,10 @@
         this.day = day;
         this.loop = loop;
         this.tap = tap;
-        random = Draws.of(seed, id);
+        random = RandomStreams.of(seed, id);
         notes = new BoxNotes(loop);
         Day.Boxes all = day.boxes();
-        rules = new BoxRules(
+        rules = new BoxParameters(
                 all.places(),
                 all.setUpMs(),
                 all.coldMs(),
@@ -286,18 +286,18 @@
                 rung,
                 spend,
                 h.get(BoxLink.CONTINUES)));
-        BoxProcess.Reply reply = life.setUp(now, key, network.linkUse(cell), condition.slow);
-        if (reply instanceof BoxProcess.Reply.PushedOver) {
+        BoxProcess.SetUpDecision reply = life.setUp(now, key, network.linkUtilization(cell), condition.slow);
+        if (reply instanceof BoxProcess.SetUpDecision.Crashes) {
             die("pushed over");
-        } else if (reply instanceof BoxProcess.Reply.Known) {
+        } else if (reply instanceof BoxProcess.SetUpDecision.AlreadyKnown) {
             answer(exchange, key, 409, null);
-        } else if (reply instanceof BoxProcess.Reply.TurnedAway away) {
+        } else if (reply instanceof BoxProcess.SetUpDecision.Rejected away) {
             answer(exchange, key, 503, away.reason());
-        } else if (reply instanceof BoxProcess.Reply.Works works) {
+        } else if (reply instanceof BoxProcess.SetUpDecision.Accepted works) {
             BoxProcess own = life;
             exchange.onClosed(() -> {
                 tap.record(new TraceEvent.AttemptEnded(tap.nowMs(), key, "called off"));
-                own.connectionLost(key);
+                own.onConnectionLost(key);
             });
             BoxSession session = new BoxSession(
                     key,
@@ -310,7 +310,7 @@
                     type.floor(),
                     rung,
                     now);
-            loop.schedule(() -> ready(exchange, session, own, spend), (long) works.ms(), TimeUnit.MILLISECONDS);
+            loop.schedule(() -> ready(exchange, session, own, spend), (long) works.workMs(), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -322,7 +322,7 @@
             parked.add(() -> ready(exchange, session, own, spend));
             return;
         }
-        if (!life.begins(session.key)) {
+        if (!life.finishSetUp(session.key)) {
             return;
         }
         double now = tap.nowMs();
@@ -363,7 +363,7 @@
         String key = slash < 0 ? rest : rest.substring(0, slash);
         String name = slash < 0 ? "" : rest.substring(slash + 1);
         if (method.equals("DELETE")) {
-            boolean ran = life.callOff(key);
+            boolean ran = life.cancel(key);
             end(key, "released");
             tap.record(new TraceEvent.CancelAnswer(tap.nowMs(), key, ran));
             exchange.respond(
@@ -439,7 +439,7 @@
             }
         }
         for (BoxSession session : due) {
-            life.ended(session.key);
+            life.onSessionEnded(session.key);
             end(session.key, "idle");
             teller.ended(session);
         }
--- a/standin/src/main/java/spanrill/standin/box/Transfer.java
+++ b/standin/src/main/java/spanrill/standin/box/Transfer.java
@@ -22,7 +22,7 @@
 
     /** True when its reader took less than it might have had. */
     boolean held() {
-        return left > 0 && session.bucket.whole() > 0;
+        return left > 0 && session.bucket.availableBytes() > 0;
     }
 
     /** Writes what is due; true when it is done. */
@@ -30,12 +30,12 @@
         if (exchange.isEnded()) {
             return true;
         }
-        while (left > 0 && session.bucket.whole() > 0 && exchange.isWritable()) {
-            int bytes = (int) Math.min(Math.min(left, MOST_PART), session.bucket.whole());
+        while (left > 0 && session.bucket.availableBytes() > 0 && exchange.isWritable()) {
+            int bytes = (int) Math.min(Math.min(left, MOST_PART), session.bucket.availableBytes());
             exchange.write(Media.part(segment, next, bytes));
             next += bytes;
             left -= bytes;
-            session.bucket.spend(bytes);
+            session.bucket.consume(bytes);
         }
         if (left == 0) {
             exchange.end();
--- a/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
+++ b/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
@@ -19,8 +19,8 @@
 import spanrill.check.EventRecorder;
 import spanrill.check.TraceEvent;
 import spanrill.day.Day;
-import spanrill.day.Plan;
-import spanrill.model.Draws;
+import spanrill.day.DayPlan;
+import spanrill.model.RandomStreams;
 import spanrill.standin.Net;
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
@@ -52,7 +52,7 @@
     public StandinRegistry(EventLoop loop, EventRecorder tap, long seed) {
         this.loop = loop;
         this.tap = tap;
-        random = Draws.of(seed, "registry");
+        random = RandomStreams.of(seed, "registry");
     }
 
     /** Adds a title to the catalogue; before it listens. */
@@ -74,14 +74,14 @@
 
     /** Adds all titles of a day, placed by its seed; before it listens. */
     public void catalogue(Day day, long seed) {
-        List<int[]> placement = new Plan(day, seed).placement();
+        List<int[]> placement = new DayPlan(day, seed).titlePlacements();
         for (int i = 0; i < placement.size(); i++) {
             title(
                     "title-" + i,
                     placement.get(i)[0],
                     placement.get(i)[1],
                     day.titles().durationMs(),
-                    day.titles().lengthsMs(),
+                    day.titles().segmentLengthsMs(),
                     day.titles().audioKb());
         }
     }
@@ -101,7 +101,7 @@
     public void change(Entry box, List<Double> lateMs) {
         truth.put(box.id(), box);
         for (View view : views.values()) {
-            loop.schedule(() -> hear(view, box), (long) Draws.between(random, lateMs), TimeUnit.MILLISECONDS);
+            loop.schedule(() -> hear(view, box), (long) RandomStreams.uniform(random, lateMs), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/standin/src/main/java/spanrill/standin/trouble/Director.java
+++ b/standin/src/main/java/spanrill/standin/trouble/Director.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import spanrill.day.Day;
-import spanrill.model.hall.HallWatch;
-import spanrill.model.hall.Halls;
+import spanrill.model.hall.HallHealNotifier;
+import spanrill.model.hall.HallNetwork;
 import spanrill.model.trouble.Effect;
 import spanrill.standin.box.BoxFleet;
 import spanrill.standin.box.StandinBox;
@@ -20,8 +20,8 @@
     private final BoxFleet fleet;
     private final StandinRegistry registry;
     private final Fronts fronts;
-    private final Halls halls;
-    private final HallWatch watch;
+    private final HallNetwork halls;
+    private final HallHealNotifier watch;
     private final EventLoop loop;
     private final Consumer<String> say;
 
@@ -32,7 +32,7 @@
             BoxFleet fleet,
             StandinRegistry registry,
             Fronts fronts,
-            HallWatch watch,
+            HallHealNotifier watch,
             EventLoop loop,
             Consumer<String> say) {
         this.watch = watch;
@@ -43,7 +43,8 @@
         this.fronts = fronts;
         this.loop = loop;
         this.say = say;
-        halls = new Halls(day.zones(), day.distances().sameMs(), day.distances().crossMs());
+        halls = new HallNetwork(
+                day.zones(), day.distances().sameMs(), day.distances().crossMs());
     }
 
     /** The day begins now. */
@@ -62,9 +63,9 @@
     }
 
     private void run(Effect effect) {
-        if (effect instanceof Effect.BoxDies e) {
-            boolean announced = e.why().equals("replaced");
-            box(e.box()).die(e.why());
+        if (effect instanceof Effect.BoxStops e) {
+            boolean announced = e.reason().equals("replaced");
+            box(e.box()).die(e.reason());
             listed(
                     box(e.box()),
                     "gone",
@@ -74,31 +75,31 @@
             listed(
                     box(e.box()),
                     "ready",
-                    e.silent() ? day.registry().silentMs() : day.registry().noticeMs());
+                    e.unannounced() ? day.registry().silentMs() : day.registry().noticeMs());
         } else if (effect instanceof Effect.BoxDrains e) {
             box(e.box()).drain();
             listed(box(e.box()), "draining", day.registry().noticeMs());
-        } else if (effect instanceof Effect.BoxMute e) {
+        } else if (effect instanceof Effect.BoxHangs e) {
             box(e.box()).mute(true);
             listed(box(e.box()), "gone", day.registry().silentMs());
-        } else if (effect instanceof Effect.BoxSlow e) {
-            box(e.box()).condition().slow(e.times());
-        } else if (effect instanceof Effect.BoxLink e) {
+        } else if (effect instanceof Effect.BoxSlowdown e) {
+            box(e.box()).condition().slow(e.factor());
+        } else if (effect instanceof Effect.BoxLinkShare e) {
             fleet.link(e.box(), e.share());
-        } else if (effect instanceof Effect.BoxNotesLate e) {
-            box(e.box()).condition().late(e.ms());
-        } else if (effect instanceof Effect.BoxAnswersLost e) {
+        } else if (effect instanceof Effect.BoxNoteDelay e) {
+            box(e.box()).condition().late(e.delayMs());
+        } else if (effect instanceof Effect.BoxAnswerLoss e) {
             box(e.box()).condition().answerLost(e.share());
-        } else if (effect instanceof Effect.RackUplink e) {
+        } else if (effect instanceof Effect.RackUplinkShare e) {
             fleet.uplink(e.rack(), e.share());
-        } else if (effect instanceof Effect.HallCut e) {
-            cut(e.hall(), e.on());
-        } else if (effect instanceof Effect.FrontDies e) {
+        } else if (effect instanceof Effect.HallIsolation e) {
+            cut(e.hall(), e.isolated());
+        } else if (effect instanceof Effect.FrontStops e) {
             fronts.kill(e.front());
         } else if (effect instanceof Effect.FrontStarts e) {
             fronts.restart(e.front());
-        } else if (effect instanceof Effect.FrontStalls e) {
-            fronts.stall(e.front(), e.on());
+        } else if (effect instanceof Effect.FrontPause e) {
+            fronts.stall(e.front(), e.paused());
         }
     }
 
@@ -109,17 +110,17 @@
     /** Who can't reach whom follows from all cuts that are on. */
     private void cut(int hall, boolean on) {
         if (on) {
-            halls.cut(hall);
-            watch.cut(hall);
+            halls.isolate(hall);
+            watch.onIsolated(hall);
         }
         boolean healed = !on && halls.heal(hall);
         for (StandinBox box : fleet.boxes()) {
             for (int from = 0; from < halls.size(); from++) {
-                box.cut(halls.name(from), !halls.reach(from, halls.number(box.zone())));
+                box.cut(halls.name(from), !halls.canReach(from, halls.indexOf(box.zone())));
             }
         }
         if (healed) {
-            watch.heal(hall);
+            watch.onHealed(hall);
         }
     }
 
--- a/standin/src/main/java/spanrill/standin/viewer/Stage.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Stage.java
@@ -2,7 +2,7 @@
 
 import spanrill.check.EventRecorder;
 import spanrill.day.Day;
-import spanrill.model.hall.HallWatch;
+import spanrill.model.hall.HallHealNotifier;
 import spanrill.standin.box.Receipts;
 import spanrill.standin.token.Issuer;
 
@@ -18,5 +18,5 @@
         EventRecorder tap,
         Receipts receipts,
         CrowdStats stats,
-        HallWatch halls,
+        HallHealNotifier halls,
         String run) {}
--- a/standin/src/main/java/spanrill/standin/viewer/Viewer.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Viewer.java
@@ -10,10 +10,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import spanrill.check.TraceEvent;
 import spanrill.day.Arrival;
-import spanrill.model.Draws;
+import spanrill.model.RandomStreams;
 import spanrill.model.player.Player;
-import spanrill.model.player.Player.Next;
-import spanrill.model.player.Traits;
+import spanrill.model.player.Player.Action;
+import spanrill.model.player.ViewerTraits;
 import spanrill.wire.dash.InvalidMpdException;
 import spanrill.wire.dash.Mpd;
 import spanrill.wire.dash.MpdParser;
@@ -32,7 +32,7 @@
 
     private final Stage stage;
     private final Arrival arrival;
-    private final Traits traits;
+    private final ViewerTraits traits;
     private final EventLoop loop;
     private final CrowdStats stats;
     private final UniformRandomProvider random;
@@ -57,7 +57,7 @@
         this.loop = loop;
         stats = stage.stats();
         traits = arrival.traits();
-        random = Draws.of(traits.seed() + 1);
+        random = RandomStreams.of(traits.seed() + 1);
         title = "title-" + traits.title();
         waits = random.nextDouble() < stage.day().viewers().waitForHall();
     }
@@ -71,7 +71,7 @@
     }
 
     void come() {
-        stage.tap().record(new TraceEvent.ViewerArrived(now(), name(), traits.cls()));
+        stage.tap().record(new TraceEvent.ViewerArrived(now(), name(), traits.serviceClass()));
         player = new Player(traits, now(), stage.day().viewers().returnMs());
         newToken();
         if (!waitsForHall()) {
@@ -81,7 +81,7 @@
 
     /** True when its device has no network and tries again the moment that its hall is healed. */
     private boolean waitsForHall() {
-        return waits && stage.halls().whenHealed(traits.hall(), () -> loop.execute(this::ask));
+        return waits && stage.halls().runWhenHealed(traits.hall(), () -> loop.execute(this::ask));
     }
 
     private String name() {
@@ -94,13 +94,14 @@
         }
         tokens++;
         tokenId = name() + "." + tokens;
-        token = stage.issuer().issue(tokenId, "v" + arrival.number(), title, traits.cls(), null, traits.top(), TOKEN_S);
+        token = stage.issuer()
+                .issue(tokenId, "v" + arrival.number(), title, traits.serviceClass(), null, traits.topRung(), TOKEN_S);
         received = stage.receipts().of(tokenId);
     }
 
     /** Goes on as its player says; {@code why} is what it goes with when it doesn't come again. */
-    private void follow(Next next, String why) {
-        if (next instanceof Next.Ask again) {
+    private void follow(Action next, String why) {
+        if (next instanceof Action.Request again) {
             if (again.newToken()) {
                 newToken();
             }
@@ -108,13 +109,13 @@
             if (!waitsForHall()) {
                 after(again.afterMs(), this::ask);
             }
-        } else if (next instanceof Next.Fetch fetch) {
+        } else if (next instanceof Action.Fetch fetch) {
             if (fetch.afterMs() > 0) {
                 after(fetch.afterMs(), () -> fetch(fetch));
             } else {
                 fetch(fetch);
             }
-        } else if (next instanceof Next.End end) {
+        } else if (next instanceof Action.End end) {
             finish(end.lostPatience());
         } else {
             over(why);
@@ -132,8 +133,8 @@
     // ---- asking
 
     private void ask() {
-        player.asks();
-        boolean first = player.tries() == 1;
+        player.onRequestSent();
+        boolean first = player.requestCount() == 1;
         front = stage.door().pick(traits.hall(), random.nextDouble());
         connect(
                 opened -> {
@@ -142,10 +143,10 @@
                     // A moment more than the stated patience: an answer that comes late is still seen as late.
                     patience = after(traits.patienceMs() + 200, this::noAnswer);
                     ask = request(opened, true);
-                    if (traits.leavesMs() >= 0 && first) {
-                        after(traits.leavesMs(), this::leave);
+                    if (traits.leaveAfterMs() >= 0 && first) {
+                        after(traits.leaveAfterMs(), this::leave);
                     }
-                    if (traits.doubles() && first) {
+                    if (traits.sendsTokenTwice() && first) {
                         connect(
                                 second -> {
                                     if (waiting) {
@@ -159,7 +160,7 @@
                 },
                 () -> {
                     stats.lost.increment();
-                    follow(player.lost(now(), true), "no front");
+                    follow(player.onConnectionLost(now(), true), "no front");
                 });
     }
 
@@ -187,7 +188,7 @@
         long number = ASKS.incrementAndGet();
         stage.tap()
                 .record(new TraceEvent.Request(
-                        now(), number, front, tokenId, traits.cls(), title, traits.patienceMs()));
+                        now(), number, front, tokenId, traits.serviceClass(), title, traits.patienceMs()));
         stats.asks.increment();
         // A second answer comes when nothing is asked any more: the checker must see that too.
         on.onUnsolicitedData(() -> stage.tap().record(new TraceEvent.Answer(now(), number, 0, "unasked")));
@@ -254,7 +255,11 @@
             stage.tap().record(new TraceEvent.RequestAborted(now(), ask, false));
             stats.lost.increment();
             // Whether something was spent isn't known: who has paid asks the issuer, not the next front.
-            follow(player.lost(now(), !stage.day().classes().get(traits.cls()).once()), "front lost");
+            follow(
+                    player.onConnectionLost(
+                            now(),
+                            !stage.day().classes().get(traits.serviceClass()).once()),
+                    "front lost");
             return;
         }
         String answer = answerOf(head);
@@ -263,13 +268,13 @@
             case "plays" -> {
                 stats.setUp.recordValue((long) Math.max(1, (now() - at) * 1000));
                 play(link.text());
-                if (traits.replays()) {
+                if (traits.replaysToken()) {
                     connect(second -> request(second, false), () -> {});
                 }
             }
             case "refused" -> {
                 connection.abort();
-                follow(player.refused(now(), retryAfterMs(head)), "refused");
+                follow(player.onRefused(now(), retryAfterMs(head)), "refused");
             }
             default -> {
                 connection.abort();
@@ -300,7 +305,7 @@
         List<Long> ladder = mpd.videoRepresentations().stream()
                 .map(each -> each.bandwidth() + audio)
                 .toList();
-        Next first = player.plays(now(), ladder, mpd.nominalSegmentMs(), mpd.segmentCount());
+        Action first = player.onPlaying(now(), ladder, mpd.nominalSegmentMs(), mpd.segmentCount());
         if (!ClientLink.get(connection, mpd.baseUrl() + "v/init.mp4", new ClientLink(false, () -> {}, (head, link) -> {
             if (head != null && head.status() == 200) {
                 follow(first, "watched");
@@ -312,8 +317,8 @@
         }
     }
 
-    private void fetch(Next.Fetch fetch) {
-        player.fetches(now());
+    private void fetch(Action.Fetch fetch) {
+        player.onFetchStarted(now());
         Mpd.Representation rung = mpd.videoRepresentations().get(fetch.rung());
         ClientLink link = new ClientLink(false, () -> {}, (head, all) -> video(head, all, fetch.number()));
         link.count(received);
@@ -336,7 +341,7 @@
             if (!fetching || link.over()) {
                 return;
             }
-            Next next = player.waits(now());
+            Action next = player.checkPatience(now());
             if (next == null) {
                 look(link);
             } else {
@@ -386,7 +391,7 @@
         stats.rungs.add(Math.max(0, served));
         // Bytes are scaled, bandwidths in the MPD are not.
         follow(
-                player.segment(
+                player.onSegmentReceived(
                         now,
                         bytes * 8 / stage.day().byteScale(),
                         mpd.video().timeline().segmentLengthMs(number)),
@@ -414,7 +419,7 @@
     private void tooSlow() {
         stage.tap().record(new TraceEvent.SessionBroken(now(), tokenId, front, -1, null));
         newToken();
-        follow(player.gaveUp(now()), "too slow");
+        follow(player.onGaveUp(now()), "too slow");
     }
 
     /** The session ended before its time; the head tells it, or is null when the connection was lost. */
@@ -427,6 +432,6 @@
                         head == null ? 0 : head.status(),
                         head == null ? null : head.headers().get("spanrill-over")));
         connection.abort();
-        follow(player.lost(now(), true), "broken");
+        follow(player.onConnectionLost(now(), true), "broken");
     }
 }
