--- a/cli/src/main/java/spanrill/cli/FrontProcesses.java
+++ b/cli/src/main/java/spanrill/cli/FrontProcesses.java
@@ -23,11 +23,11 @@
 import spanrill.check.EventRecorder;
 import spanrill.check.TraceEvent;
 import spanrill.model.player.FrontSelector;
-import spanrill.standin.trouble.Fronts;
-import spanrill.standin.viewer.FrontDoor;
+import spanrill.standin.trouble.FrontControl;
+import spanrill.standin.viewer.FrontLocator;
 
 /** The fronts of a rehearsal: real processes, which are killed, stopped and started again. */
-final class FrontProcesses implements Fronts, FrontDoor, AutoCloseable {
+final class FrontProcesses implements FrontControl, FrontLocator, AutoCloseable {
     private static final long START_MS = 60_000;
     private static final int FULL_JIT_FRONTS = 4;
 
--- a/cli/src/main/java/spanrill/cli/MeasureBench.java
+++ b/cli/src/main/java/spanrill/cli/MeasureBench.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeoutException;
 import spanrill.check.EventRecorder;
 import spanrill.day.Day;
-import spanrill.standin.box.PumpBox;
+import spanrill.standin.box.UnshapedBox;
 import spanrill.standin.registry.Entry;
 import spanrill.standin.registry.StandinRegistry;
 import spanrill.standin.token.Issuer;
@@ -40,15 +40,15 @@
     MeasureBench(Map<String, Number> limits) throws IOException, InterruptedException, JOSEException {
         Path folder = Files.createTempDirectory("spanrill-measure");
         for (int i = 0; i < BOXES; i++) {
-            entries.add(
-                    new Entry("box-" + i, new PumpBox(boxLoops.next(), SEGMENT).port(), "a", "std", i, "ready", 1, 0));
+            entries.add(new Entry(
+                    "box-" + i, new UnshapedBox(boxLoops.next(), SEGMENT).port(), "a", "std", i, "ready", 1, 0));
         }
         StandinRegistry registry = new StandinRegistry(boxLoops.next(), tap, 1);
-        registry.title("title", 0, BOXES, 3_600_000, List.of(2000L), 0);
-        registry.begin(entries);
+        registry.addTitle("title", 0, BOXES, 3_600_000, List.of(2000L), 0);
+        registry.addBoxes(entries);
         int registryPort = registry.listen();
-        issuer = Issuer.fresh("k");
-        Issuer.publish(folder.resolve("keys.json"), issuer);
+        issuer = Issuer.generate("k");
+        Issuer.writeVerificationKeys(folder.resolve("keys.json"), issuer);
         Day day = day();
         FrontProcesses.Config config = (front, port) -> {
             Path file = folder.resolve("front.json");
--- a/cli/src/main/java/spanrill/cli/MeasureCommand.java
+++ b/cli/src/main/java/spanrill/cli/MeasureCommand.java
@@ -26,7 +26,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import spanrill.standin.viewer.Puller;
+import spanrill.standin.viewer.SegmentReader;
 import spanrill.standin.viewer.SetUpProbe;
 
 /** Measures one front process between boxes without links and viewers that read as fast as they can. */
@@ -140,9 +140,9 @@
 
     private double pull(MultiThreadIoEventLoopGroup loops, int forS, Targets targets) throws InterruptedException {
         LongAdder bytes = new LongAdder();
-        List<Puller> all = new ArrayList<>();
+        List<SegmentReader> all = new ArrayList<>();
         for (int i = 0; i < pullers; i++) {
-            Puller puller = new Puller(targets.of(i).path(), bytes, faults::add);
+            SegmentReader puller = new SegmentReader(targets.of(i).path(), bytes, faults::add);
             all.add(puller);
             puller.start(loops.next(), targets.of(i).port());
         }
@@ -151,7 +151,7 @@
         long begin = System.nanoTime();
         TimeUnit.SECONDS.sleep(forS);
         double rate = (bytes.sum() - before) / 1e6 / ((System.nanoTime() - begin) / 1e9);
-        all.forEach(Puller::stop);
+        all.forEach(SegmentReader::stop);
         return rate;
     }
 
--- a/cli/src/main/java/spanrill/cli/OverloadCommand.java
+++ b/cli/src/main/java/spanrill/cli/OverloadCommand.java
@@ -16,7 +16,6 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import spanrill.standin.viewer.AnswerProbe;
-import spanrill.standin.viewer.AnswerProbe.Came;
 
 /** Measures what a front does when more ask than it can set up. */
 @Command(
@@ -63,16 +62,16 @@
     /** What one step came to. */
     private record Step(
             double perS, AtomicLongArray came, Histogram plays, Histogram all, Histogram late, int seconds) {
-        long of(Came what) {
+        long of(AnswerProbe.Outcome what) {
             return came.get(what.ordinal());
         }
 
         double goodput() {
-            return of(Came.PLAYS) / (double) seconds;
+            return of(AnswerProbe.Outcome.PLAYS) / (double) seconds;
         }
 
         boolean holds() {
-            long others = IntStream.range(0, came.length()).mapToLong(came::get).sum() - of(Came.PLAYS);
+            long others = IntStream.range(0, came.length()).mapToLong(came::get).sum() - of(AnswerProbe.Outcome.PLAYS);
             return others == 0 && plays.getValueAtPercentile(99) / 1000.0 <= AIM_MS;
         }
 
@@ -137,7 +136,7 @@
         for (int times : TIMES) {
             Step step = step(bench, held * times);
             print(out, step);
-            good &= step.goodput() >= GOOD_SHARE * held && step.of(Came.NONE) == 0;
+            good &= step.goodput() >= GOOD_SHARE * held && step.of(AnswerProbe.Outcome.TIMED_OUT) == 0;
             counts &= step.lateMs() <= MOST_LATE_MS;
         }
         out.println(good ? "held: goodput does not fall under overload, all are answered" : "NOT HELD");
@@ -158,7 +157,7 @@
                 .toArray(String[]::new);
         Step step = new Step(
                 perS,
-                new AtomicLongArray(Came.values().length),
+                new AtomicLongArray(AnswerProbe.Outcome.values().length),
                 new ConcurrentHistogram(60_000_000, 3),
                 new ConcurrentHistogram(60_000_000, 3),
                 new ConcurrentHistogram(60_000_000, 3),
@@ -176,7 +175,7 @@
                             long took = Math.max(1, (System.nanoTime() - due) / 1000);
                             step.came().incrementAndGet(what.ordinal());
                             step.all().recordValue(Math.min(60_000_000, took));
-                            if (what == Came.PLAYS) {
+                            if (what == AnswerProbe.Outcome.PLAYS) {
                                 step.plays().recordValue(Math.min(60_000_000, took));
                             }
                             all.countDown();
@@ -197,10 +196,10 @@
                 "%9.0f %9.0f %9d %7d %8d %6d %14s %14s %11.0f ms%n",
                 step.perS(),
                 step.goodput(),
-                step.of(Came.TOLD_TO_WAIT),
-                step.of(Came.OTHER),
-                step.of(Came.NO_CONNECTION),
-                step.of(Came.NONE),
+                step.of(AnswerProbe.Outcome.RETRY_LATER),
+                step.of(AnswerProbe.Outcome.OTHER),
+                step.of(AnswerProbe.Outcome.NO_CONNECTION),
+                step.of(AnswerProbe.Outcome.TIMED_OUT),
                 times(step.plays()),
                 times(step.all()),
                 step.lateMs());
--- a/cli/src/main/java/spanrill/cli/Recorder.java
+++ b/cli/src/main/java/spanrill/cli/Recorder.java
@@ -3,17 +3,17 @@
 import java.util.function.LongSupplier;
 import spanrill.results.CountRow;
 import spanrill.results.ParquetRows;
-import spanrill.standin.viewer.CrowdStats;
+import spanrill.standin.viewer.ViewerStats;
 
 /** Writes down each second what a crowd met with in it. */
 final class Recorder {
-    private final CrowdStats stats;
+    private final ViewerStats stats;
     private final LongSupplier playing;
     private final ParquetRows<CountRow> rows;
     private long[] before = new long[6];
     private int second;
 
-    Recorder(CrowdStats stats, LongSupplier playing, ParquetRows<CountRow> rows) {
+    Recorder(ViewerStats stats, LongSupplier playing, ParquetRows<CountRow> rows) {
         this.stats = stats;
         this.playing = playing;
         this.rows = rows;
@@ -21,11 +21,11 @@
 
     void second() {
         long[] now = {
-            stats.asks.sum(),
+            stats.requests.sum(),
             stats.plays.sum(),
             stats.refused.sum(),
             stats.failed.sum(),
-            stats.returns.sum(),
+            stats.retries.sum(),
             stats.stalledMs.sum()
         };
         rows.add(new CountRow(
--- a/cli/src/main/java/spanrill/cli/Rehearsal.java
+++ b/cli/src/main/java/spanrill/cli/Rehearsal.java
@@ -27,14 +27,14 @@
 import spanrill.results.SecondRow;
 import spanrill.results.ViewerRow;
 import spanrill.standin.box.BoxFleet;
-import spanrill.standin.box.Receipts;
+import spanrill.standin.box.ReceivedBytes;
 import spanrill.standin.box.StandinBox;
 import spanrill.standin.registry.StandinRegistry;
 import spanrill.standin.token.Issuer;
-import spanrill.standin.trouble.Director;
-import spanrill.standin.viewer.Crowd;
-import spanrill.standin.viewer.CrowdStats;
-import spanrill.standin.viewer.Stage;
+import spanrill.standin.trouble.FaultInjector;
+import spanrill.standin.viewer.ViewerContext;
+import spanrill.standin.viewer.ViewerLoadGenerator;
+import spanrill.standin.viewer.ViewerStats;
 
 /** One rehearsal: stand-ins in this process, fronts in their own, one clock for all records. */
 final class Rehearsal {
@@ -72,13 +72,14 @@
                 RunRows rows = new RunRows(results)) {
             tap.record(Emulator.facts(day));
             EventLoop loop = boxLoops.next();
-            Receipts receipts = new Receipts();
+            ReceivedBytes receipts = new ReceivedBytes();
             BoxFleet fleet = new BoxFleet(day, seed, loop, tap, receipts, rows.seconds);
             fleet.open();
             StandinRegistry registry = registry(loop, tap, fleet);
             int registryPort = registry.listen();
             Issuer issuer = issuer();
-            List<Double> links = fleet.boxes().stream().map(StandinBox::linkKb).toList();
+            List<Double> links =
+                    fleet.boxes().stream().map(StandinBox::linkKilobytesPerS).toList();
             FrontProcesses.Config config = (front, port) -> {
                 Path file = folder.resolve("front-" + front + ".json");
                 FrontConfig.write(file, day, links, front, port, registryPort, seed, Map.of());
@@ -89,29 +90,31 @@
                 fronts.startAll();
                 DayPlan plan = new DayPlan(day, seed);
                 HallHealNotifier watch = new HallHealNotifier(day.zones().size());
-                Crowd crowd = new Crowd(
-                        new Stage(
+                ViewerLoadGenerator crowd = new ViewerLoadGenerator(
+                        new ViewerContext(
                                 day,
                                 fronts,
                                 issuer,
                                 tap,
                                 receipts,
-                                new CrowdStats(),
+                                new ViewerStats(),
                                 watch,
                                 Long.toString(System.currentTimeMillis(), Character.MAX_RADIX)),
                         plan.arrivals(),
                         playerLoops);
-                Director director = new Director(day, plan.effects(), fleet, registry, fronts, watch, loop, this::say);
+                FaultInjector director =
+                        new FaultInjector(day, plan.effects(), fleet, registry, fronts, watch, loop, this::say);
                 double began = tap.nowMs();
                 play(loop, crowd, director, fronts, fleet, rows);
                 fronts.sampleCpu();
-                Resources resources = Resources.take(loop.submit(fleet::modelMs).get());
+                Resources resources =
+                        Resources.take(loop.submit(fleet::linkModelMs).get());
                 long frontsKb = fronts.residentKb();
                 // Judged before the fronts are stopped: sessions that end with the day did not end early.
                 List<TraceEvent> records = tap.events();
                 fronts.stopAll();
                 long spends = loop.submit(() -> fleet.boxes().stream()
-                                .mapToLong(StandinBox::spends)
+                                .mapToLong(StandinBox::spendingSetUps)
                                 .sum())
                         .get();
                 List<HealedHall> healed = HealedHall.of(records, plan.effects(), began, day);
@@ -124,7 +127,7 @@
                         judged,
                         fronts.cpuMs(),
                         spends,
-                        fleet.shapingLate(),
+                        fleet.shapingDelayMicros(),
                         resources,
                         frontsKb,
                         healed);
@@ -187,7 +190,12 @@
     }
 
     private void play(
-            EventLoop loop, Crowd crowd, Director director, FrontProcesses fronts, BoxFleet fleet, RunRows rows)
+            EventLoop loop,
+            ViewerLoadGenerator crowd,
+            FaultInjector director,
+            FrontProcesses fronts,
+            BoxFleet fleet,
+            RunRows rows)
             throws InterruptedException {
         CountDownLatch over = new CountDownLatch(1);
         loop.execute(() -> {
@@ -231,7 +239,7 @@
                             Locale.ROOT,
                             "%3d s  asked %d, plays %d, refused %d, failed %d, playing now %d",
                             passed[0] / 1000,
-                            crowd.stats().asks.sum(),
+                            crowd.stats().requests.sum(),
                             crowd.stats().plays.sum(),
                             crowd.stats().refused.sum(),
                             crowd.stats().failed.sum(),
@@ -246,7 +254,7 @@
     }
 
     private static long playing(BoxFleet fleet) {
-        return fleet.boxes().stream().mapToInt(StandinBox::playing).sum();
+        return fleet.boxes().stream().mapToInt(StandinBox::activeSessions).sum();
     }
 
     private void say(String text) {
@@ -256,16 +264,16 @@
 
     private StandinRegistry registry(EventLoop loop, EventRecorder tap, BoxFleet fleet) {
         StandinRegistry registry = new StandinRegistry(loop, tap, seed);
-        registry.catalogue(day, seed);
-        registry.begin(fleet.entries());
+        registry.addTitlesOf(day, seed);
+        registry.addBoxes(fleet.entries());
         return registry;
     }
 
     private Issuer issuer() throws IOException {
         try {
-            Issuer issuer = Issuer.fresh("rehearsal");
+            Issuer issuer = Issuer.generate("rehearsal");
             Files.createDirectories(folder);
-            Issuer.publish(folder.resolve("keys.json"), issuer);
+            Issuer.writeVerificationKeys(folder.resolve("keys.json"), issuer);
             return issuer;
         } catch (JOSEException e) {
             throw new IOException("no key could be made: " + e.getMessage(), e);
--- a/cli/src/main/java/spanrill/cli/Report.java
+++ b/cli/src/main/java/spanrill/cli/Report.java
@@ -11,13 +11,13 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 import spanrill.check.Verdict;
-import spanrill.standin.viewer.CrowdStats;
+import spanrill.standin.viewer.ViewerStats;
 
 /** What a rehearsal came to, as a table and as JSON (docs/operators.md has the fields). */
 record Report(
         String day,
         long seed,
-        CrowdStats stats,
+        ViewerStats stats,
         Judgement judged,
         double frontCpuMs,
         long spends,
@@ -34,7 +34,7 @@
     }
 
     boolean loadInTime() {
-        return stats.late.getValueAtPercentile(99) / 1000.0 <= LATE_MS;
+        return stats.arrivalDelayMicros.getValueAtPercentile(99) / 1000.0 <= LATE_MS;
     }
 
     private double delivered() {
@@ -63,21 +63,21 @@
     ObjectNode json() {
         ObjectNode root = JSON.createObjectNode().put("day", day).put("seed", seed);
         judged.putInto(root);
-        root.put("loadInTime", loadInTime()).put("connectionsLost", stats.lost.sum());
+        root.put("loadInTime", loadInTime()).put("connectionsLost", stats.connectionsLost.sum());
         root.putObject("setupMs").put("p50", setUp(50)).put("p99", setUp(99));
         root.put("delivered", delivered())
                 .put("frontCpuMsPerRequest", cpuPerRequest())
-                .put("sessionsFinished", stats.finished.sum())
+                .put("sessionsFinished", stats.sessionsFinished.sum())
                 .put("sessionsBroken", judged.broken())
                 .put("segments", stats.segments.sum())
-                .put("bytes", stats.bytes.sum())
-                .put("meanRung", stats.rungs.sum() / Math.max(1.0, stats.segments.sum()))
+                .put("bytes", stats.mediaBytes.sum())
+                .put("meanRung", stats.rungSum.sum() / Math.max(1.0, stats.segments.sum()))
                 .put("spends", spends)
-                .put("loadLateMsP99", stats.late.getValueAtPercentile(99) / 1000.0)
+                .put("loadLateMsP99", stats.arrivalDelayMicros.getValueAtPercentile(99) / 1000.0)
                 .put("shapingLateMsP99", shapingLate.getValueAtPercentile(99) / 1000.0)
                 .put("shapingLateMsMost", shapingLate.getMaxValue() / 1000.0)
-                .put("gaveUp", stats.gaveUp.sum())
-                .put("returns", stats.returns.sum())
+                .put("gaveUp", stats.sessionsAbandoned.sum())
+                .put("returns", stats.retries.sum())
                 .put("stalls", stats.stalls.sum());
         ArrayNode halls = root.putArray("healedHalls");
         healed.forEach(hall -> halls.addObject()
@@ -98,7 +98,7 @@
     }
 
     private double setUp(double percentile) {
-        return stats.setUp.getValueAtPercentile(percentile) / 1000.0;
+        return stats.setUpMicros.getValueAtPercentile(percentile) / 1000.0;
     }
 
     void print(PrintWriter out) {
@@ -108,17 +108,17 @@
         out.printf(
                 Locale.ROOT,
                 "  sessions finished %d, broken %d; delivered %.3f of the time, mean rung %.2f%n",
-                stats.finished.sum(),
+                stats.sessionsFinished.sum(),
                 judged.broken(),
                 delivered(),
-                stats.rungs.sum() / Math.max(1.0, stats.segments.sum()));
+                stats.rungSum.sum() / Math.max(1.0, stats.segments.sum()));
         out.printf(
                 Locale.ROOT,
                 "  set-up p50 %.0f ms, p99 %.0f ms; front CPU %.2f ms a request; load late p99 %.1f ms%s%n",
                 setUp(50),
                 setUp(99),
                 cpuPerRequest(),
-                stats.late.getValueAtPercentile(99) / 1000.0,
+                stats.arrivalDelayMicros.getValueAtPercentile(99) / 1000.0,
                 loadInTime() ? "" : " (too late: this run does not count)");
         healed.forEach(hall -> out.printf(
                 Locale.ROOT,
--- a/cli/src/main/java/spanrill/cli/StandinCommand.java
+++ b/cli/src/main/java/spanrill/cli/StandinCommand.java
@@ -22,7 +22,7 @@
 import spanrill.day.Day;
 import spanrill.settings.Settings;
 import spanrill.standin.box.BoxFleet;
-import spanrill.standin.box.Receipts;
+import spanrill.standin.box.ReceivedBytes;
 import spanrill.standin.registry.Entry;
 import spanrill.standin.registry.StandinRegistry;
 import spanrill.standin.token.Issuer;
@@ -78,7 +78,7 @@
         @Override
         public Integer call() throws Exception {
             Day day = Settings.read(file, Day.class);
-            BoxFleet fleet = new BoxFleet(day, day.seed(), loop(), new EventRecorder(null), new Receipts(), null);
+            BoxFleet fleet = new BoxFleet(day, day.seed(), loop(), new EventRecorder(null), new ReceivedBytes(), null);
             fleet.open();
             List<Entry> entries = fleet.entries();
             Files.writeString(
@@ -104,9 +104,9 @@
         public Integer call() throws Exception {
             Day day = Settings.read(file, Day.class);
             StandinRegistry registry = new StandinRegistry(loop(), new EventRecorder(null), day.seed());
-            registry.catalogue(day, day.seed());
+            registry.addTitlesOf(day, day.seed());
             try {
-                registry.begin(
+                registry.addBoxes(
                         new ObjectMapper().readValue(Files.readString(list), new TypeReference<List<Entry>>() {}));
             } catch (IOException e) {
                 throw new BadInput(list + ": is no list of boxes");
--- a/cli/src/main/java/spanrill/cli/TokenCommand.java
+++ b/cli/src/main/java/spanrill/cli/TokenCommand.java
@@ -55,9 +55,9 @@
     @Override
     public Integer call() throws Exception {
         if (prefix != null) {
-            Issuer issuer = Issuer.fresh("key-" + UUID.randomUUID());
-            issuer.save(Path.of(prefix + ".private.json"));
-            Issuer.publish(Path.of(prefix + ".public.json"), issuer);
+            Issuer issuer = Issuer.generate("key-" + UUID.randomUUID());
+            issuer.writePrivateKey(Path.of(prefix + ".private.json"));
+            Issuer.writeVerificationKeys(Path.of(prefix + ".public.json"), issuer);
             return Exit.HELD;
         }
         if (keys == null || title == null || cls == null) {
--- a/cli/src/test/java/spanrill/path/PathBench.java
+++ b/cli/src/test/java/spanrill/path/PathBench.java
@@ -40,17 +40,17 @@
         this.folder = folder;
         tap = new EventRecorder(null);
         registry = new StandinRegistry(group.next(), tap, 1);
-        registry.title("title", 0, count, 600_000, List.of(2000L), 0);
-        registry.title("spoken", 0, count, 7000, List.of(2000L, 1900L), 24);
+        registry.addTitle("title", 0, count, 600_000, List.of(2000L), 0);
+        registry.addTitle("spoken", 0, count, 7000, List.of(2000L, 1900L), 24);
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             boxes.add(new ScriptedBox(group.next(), i));
             entries.add(boxes.get(i).entry("ready"));
         }
-        registry.begin(entries);
+        registry.addBoxes(entries);
         registryPort = registry.listen();
-        issuer = Issuer.fresh("k");
-        Issuer.publish(folder.resolve("keys.json"), issuer);
+        issuer = Issuer.generate("k");
+        Issuer.writeVerificationKeys(folder.resolve("keys.json"), issuer);
         front = start();
     }
 
@@ -113,7 +113,7 @@
 
     void change(ScriptedBox box, String state) throws Exception {
         group.next()
-                .submit(() -> registry.change(box.entry(state), List.of(0.0, 0.0)))
+                .submit(() -> registry.updateBox(box.entry(state), List.of(0.0, 0.0)))
                 .get(5, TimeUnit.SECONDS);
     }
 
--- a/cli/src/test/java/spanrill/path/ScriptedBox.java
+++ b/cli/src/test/java/spanrill/path/ScriptedBox.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import spanrill.standin.Net;
+import spanrill.standin.LoopbackServer;
 import spanrill.standin.registry.Entry;
 import spanrill.wire.box.BoxLink;
 import spanrill.wire.http.Exchange;
@@ -29,11 +29,11 @@
     ScriptedBox(EventLoop loop, int cell) throws IOException {
         id = "box-" + cell;
         this.cell = cell;
-        server = Net.listen(loop, 0, channel -> {}, this::route);
+        server = LoopbackServer.listen(loop, 0, channel -> {}, this::route);
     }
 
     Entry entry(String state) {
-        return new Entry(id, Net.port(server), "a", "std", cell, state, 1, 0);
+        return new Entry(id, LoopbackServer.port(server), "a", "std", cell, state, 1, 0);
     }
 
     private void route(Exchange exchange) {
--- a/standin/src/main/java/spanrill/standin/Net.java
+++ b/standin/src/main/java/spanrill/standin/LoopbackServer.java
@@ -12,11 +12,11 @@
 import spanrill.wire.http.HttpServerHandler;
 
 /** Listening on loopback. */
-public final class Net {
+public final class LoopbackServer {
     private static final HttpServerHandler.ConnectionLimits TIMES =
             new HttpServerHandler.ConnectionLimits(10_000, 120_000, 64 * 1024);
 
-    private Net() {}
+    private LoopbackServer() {}
 
     /** A server on loopback that hands its exchanges on; all its connections are on one loop. */
     public static Channel listen(EventLoop loop, int port, Consumer<Channel> opened, Consumer<Exchange> route)
--- a/standin/src/main/java/spanrill/standin/box/BoxFleet.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxFleet.java
@@ -20,8 +20,8 @@
 
     private final List<StandinBox> boxes = new ArrayList<>();
     private final LinkNetwork network = new LinkNetwork();
-    private final FlowLedger ledger;
-    private final ModelTime modelTime = new ModelTime();
+    private final SessionSecondRecorder ledger;
+    private final LinkModelTimer modelTime = new LinkModelTimer();
     private final EventLoop loop;
     private final EventRecorder tap;
     private final Day day;
@@ -38,7 +38,12 @@
      * @param rows where seconds are written, or null
      */
     public BoxFleet(
-            Day day, long seed, EventLoop loop, EventRecorder tap, Receipts receipts, ParquetRows<SecondRow> rows) {
+            Day day,
+            long seed,
+            EventLoop loop,
+            EventRecorder tap,
+            ReceivedBytes receipts,
+            ParquetRows<SecondRow> rows) {
         this.loop = loop;
         this.tap = tap;
         this.day = day;
@@ -50,7 +55,7 @@
             uplinkBytes[r] = Math.round(plan.uplinksKbytesPerS().get(r) * bytes);
             network.addRack(uplinkBytes[r]);
         }
-        ledger = new FlowLedger(network, receipts, rows);
+        ledger = new SessionSecondRecorder(network, receipts, rows);
         for (FleetPlan.Box box : plan.boxes()) {
             linkBytes[box.cell()] = Math.round(box.linkKbytesPerS() * bytes);
             network.addBox(box.rack(), linkBytes[box.cell()]);
@@ -75,7 +80,7 @@
         // Binding is done by the loop itself; each round trip through it lets what is queued go first.
         for (int i = 0;
                 i < 400
-                        && !loop.submit(() -> boxes.stream().allMatch(StandinBox::up))
+                        && !loop.submit(() -> boxes.stream().allMatch(StandinBox::isRunning))
                                 .sync()
                                 .getNow();
                 i++) {
@@ -84,7 +89,7 @@
         dueNanos = System.nanoTime() + TICK_MS * 1_000_000;
         loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         long tell = (long) day.notes().tellMs();
-        loop.scheduleAtFixedRate(() -> boxes.forEach(StandinBox::tellUse), tell, tell, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(() -> boxes.forEach(StandinBox::reportLinkUse), tell, tell, TimeUnit.MILLISECONDS);
     }
 
     private void tick() {
@@ -94,11 +99,11 @@
         double at = tap.nowMs();
         if (++ticks % (SECOND_MS / TICK_MS) == 0) {
             // Before this tick's bytes go out: what the last tick wrote has arrived by now.
-            ledger.second(at, boxes);
-            boxes.forEach(StandinBox::tellShare);
-            boxes.forEach(box -> box.sweep(at));
+            ledger.recordSecond(at, boxes);
+            boxes.forEach(StandinBox::reportDeliveredShare);
+            boxes.forEach(box -> box.endIdleSessions(at));
         }
-        boxes.forEach(box -> box.advance(at, TICK_MS));
+        boxes.forEach(box -> box.sendGrantedBytes(at, TICK_MS));
     }
 
     /** The boxes. */
@@ -114,27 +119,27 @@
     }
 
     /** A box's link gives this share. */
-    public void link(int box, double share) {
+    public void setLinkShare(int box, double share) {
         network.setLinkCapacity(tap.nowMs(), box, Math.round(linkBytes[box] * share));
     }
 
     /** A rack's uplink gives this share. */
-    public void uplink(int rack, double share) {
+    public void setUplinkShare(int rack, double share) {
         network.setUplinkCapacity(tap.nowMs(), rack, Math.round(uplinkBytes[rack] * share));
     }
 
     /** Time that the loop spent in the model of links, ms; on the loop. */
-    public double modelMs() {
-        return modelTime.ms();
+    public double linkModelMs() {
+        return modelTime.elapsedMs();
     }
 
     /** How late boxes moved their bytes, microseconds. */
-    public Histogram shapingLate() {
+    public Histogram shapingDelayMicros() {
         return late;
     }
 
     /** Ends all. */
     public void close() throws InterruptedException {
-        loop.submit(() -> boxes.forEach(box -> box.die("closed"))).sync();
+        loop.submit(() -> boxes.forEach(box -> box.terminate("closed"))).sync();
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/Condition.java
+++ b/standin/src/main/java/spanrill/standin/box/Impairments.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** What troubles do to a box just now. */
-public final class Condition {
+public final class Impairments {
     /** Set-ups take so many times as long. */
     double slow = 1;
     /** Notes come so much later. */
@@ -17,22 +17,22 @@
     final Set<String> cut = new HashSet<>();
 
     /** Set-ups take so many times as long. */
-    public void slow(double times) {
+    public void setSetUpSlowdown(double times) {
         slow = times;
     }
 
     /** Notes come so much later. */
-    public void late(double ms) {
+    public void setNoteDelayMs(double ms) {
         lateMs = ms;
     }
 
     /** This share of answers is lost. */
-    public void answerLost(double share) {
+    public void setLostAnswerShare(double share) {
         answerLost = share;
     }
 
     /** Fronts of this hall reach it, or don't. */
-    public void cut(String zone, boolean on) {
+    public void setUnreachableFrom(String zone, boolean on) {
         if (on) {
             cut.add(zone);
         } else {
@@ -40,7 +40,7 @@
         }
     }
 
-    boolean silentTo(String zone) {
+    boolean isUnreachableFrom(String zone) {
         return mute || cut.contains(zone);
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/BoxTeller.java
+++ b/standin/src/main/java/spanrill/standin/box/LoadReporter.java
@@ -10,7 +10,7 @@
 import spanrill.wire.box.Note;
 
 /** What a box tells of itself: how much of its rate a session gets, and how full link and uplink are. */
-final class BoxTeller {
+final class LoadReporter {
     private static final double MOST_USE = 99;
     private static final double SHORT = 0.98;
 
@@ -18,12 +18,12 @@
     private final LinkNetwork network;
     private final int cell;
     private final int rack;
-    private final BoxNotes notes;
-    private final Condition condition;
+    private final NoteStreams notes;
+    private final Impairments condition;
     private double shownLink;
     private double shownUplink;
 
-    BoxTeller(Day day, LinkNetwork network, int cell, int rack, BoxNotes notes, Condition condition) {
+    LoadReporter(Day day, LinkNetwork network, int cell, int rack, NoteStreams notes, Impairments condition) {
         this.day = day;
         this.network = network;
         this.cell = cell;
@@ -42,25 +42,25 @@
     }
 
     /** A session began: its front hears how full things are now. */
-    void began(BoxSession session) {
-        notes.tell(session.front, new Note(Note.Kind.LINK, session.key, shown(network.linkUtilization(cell))));
-        notes.tell(session.front, new Note(Note.Kind.UPLINK, session.key, shown(network.uplinkUtilization(rack))));
+    void reportSessionStart(BoxSession session) {
+        notes.send(session.front, new Note(Note.Kind.LINK, session.key, shown(network.linkUtilization(cell))));
+        notes.send(session.front, new Note(Note.Kind.UPLINK, session.key, shown(network.uplinkUtilization(rack))));
     }
 
-    void ended(BoxSession session) {
-        notes.tell(session.front, new Note(Note.Kind.OVER, session.key, 0));
+    void reportSessionEnd(BoxSession session) {
+        notes.send(session.front, new Note(Note.Kind.OVER, session.key, 0));
     }
 
     private void late(BoxSession session, Predicate<BoxSession> still, Note... told) {
-        notes.tellLate(
+        notes.sendDelayed(
                 day.notes().lateMs() + condition.lateMs,
-                () -> still.test(session) && !condition.silentTo(session.zone),
+                () -> still.test(session) && !condition.isUnreachableFrom(session.zone),
                 session.front,
                 told);
     }
 
     /** Each second: the share delivered, on one session of each front. */
-    void share(Collection<BoxSession> sessions, Predicate<BoxSession> still) {
+    void reportDeliveredShare(Collection<BoxSession> sessions, Predicate<BoxSession> still) {
         Set<Integer> told = new HashSet<>();
         for (BoxSession session : sessions) {
             if (!told.add(session.front)) {
@@ -76,7 +76,7 @@
     }
 
     /** At the stated interval: how full link and uplink are, on one session of each front. */
-    void use(Collection<BoxSession> sessions, Predicate<BoxSession> still) {
+    void reportLinkUse(Collection<BoxSession> sessions, Predicate<BoxSession> still) {
         shownLink = shown(network.linkUtilization(cell));
         shownUplink = shown(network.uplinkUtilization(rack));
         Set<Integer> told = new HashSet<>();
--- a/standin/src/main/java/spanrill/standin/box/Media.java
+++ b/standin/src/main/java/spanrill/standin/box/MediaBytes.java
@@ -7,14 +7,14 @@
  * Media bytes that anyone can compute anew: a block of noise, read from a place that the segment's name
  * gives.
  */
-public final class Media {
+public final class MediaBytes {
     /** Length of every initialization segment. */
     public static final int INIT_BYTES = 640;
 
     private static final int BLOCK = 1 << 18;
     private static final ByteBuf NOISE = noise();
 
-    private Media() {}
+    private MediaBytes() {}
 
     private static ByteBuf noise() {
         byte[] bytes = new byte[BLOCK * 2];
@@ -30,7 +30,7 @@
     }
 
     /** Part of a segment, of at most 256 KiB; shares memory. */
-    public static ByteBuf part(String segment, long from, int bytes) {
+    public static ByteBuf slice(String segment, long from, int bytes) {
         int start = (int) Math.floorMod(segment.hashCode() + from, (long) BLOCK);
         return NOISE.retainedSlice(start, Math.min(bytes, BLOCK));
     }
--- a/standin/src/main/java/spanrill/standin/box/BoxShaper.java
+++ b/standin/src/main/java/spanrill/standin/box/MediaSender.java
@@ -13,7 +13,7 @@
 import spanrill.wire.http.Headers;
 
 /** Moves a box's media: each session gets what the model's links grant it, and no byte more. */
-final class BoxShaper {
+final class MediaSender {
     private static final double START_BOOST = 4;
     private static final double STEADY_BOOST = 1.3;
     private static final int START_SEGMENTS = 2;
@@ -24,11 +24,11 @@
     private final Timeline timeline;
     private final LinkNetwork network;
     private final int cell;
-    private final Condition condition;
-    private final ModelTime modelTime;
-    private final List<Transfer> transfers = new ArrayList<>();
+    private final Impairments condition;
+    private final LinkModelTimer modelTime;
+    private final List<SegmentTransfer> transfers = new ArrayList<>();
 
-    BoxShaper(Day day, LinkNetwork network, int cell, Condition condition, ModelTime modelTime) {
+    MediaSender(Day day, LinkNetwork network, int cell, Impairments condition, LinkModelTimer modelTime) {
         this.day = day;
         timeline = Timeline.repeating(day.titles().durationMs(), day.titles().segmentLengthsMs());
         this.network = network;
@@ -45,17 +45,17 @@
         return Math.max(1, Math.round(bytesPerMs(session, session.rung) * 1000));
     }
 
-    void join(double now, BoxSession session) {
-        modelTime.of(() -> session.flow = network.addFlow(now, cell, rate(session)));
+    void addSession(double now, BoxSession session) {
+        modelTime.measure(() -> session.flow = network.addFlow(now, cell, rate(session)));
     }
 
-    void leave(double now, BoxSession session) {
-        modelTime.of(() -> network.removeFlow(now, session.flow));
+    void removeSession(double now, BoxSession session) {
+        modelTime.measure(() -> network.removeFlow(now, session.flow));
     }
 
-    void rung(double now, BoxSession session, int rung) {
+    void changeRung(double now, BoxSession session, int rung) {
         session.rung = rung;
-        modelTime.of(() -> network.setRate(now, session.flow, rate(session)));
+        modelTime.measure(() -> network.setRate(now, session.flow, rate(session)));
     }
 
     void clear() {
@@ -63,7 +63,7 @@
     }
 
     /** Begins to send a segment of a session by its name, or answers that there is none. */
-    void segment(Exchange exchange, BoxSession session, String name) {
+    void startSegment(Exchange exchange, BoxSession session, String name) {
         long whole = length(session, name);
         if (whole < 0) {
             exchange.respond(404, new Headers(), new byte[0]);
@@ -82,13 +82,13 @@
         }
         exchange.start(partial ? 206 : 200, headers, part.length());
         session.transfers++;
-        transfers.add(new Transfer(exchange, session, session.title + "/" + name, part.first(), part.length()));
+        transfers.add(new SegmentTransfer(exchange, session, session.title + "/" + name, part.first(), part.length()));
     }
 
     /** Length of a segment in bytes on the wire, -1 when there is none of that name. */
     private long length(BoxSession session, String name) {
         if (name.equals("init.mp4") || name.equals("a/init.mp4")) {
-            return Media.INIT_BYTES;
+            return MediaBytes.INIT_BYTES;
         }
         Matcher media = MEDIA.matcher(name);
         if (!media.matches()) {
@@ -112,12 +112,12 @@
     }
 
     /** Moves transfers on: each session by what the model granted it since the last time. */
-    void advance(double now, double ms, Iterable<BoxSession> sessions) {
-        modelTime.of(() -> grant(now, ms, sessions));
+    void sendGrantedBytes(double now, double ms, Iterable<BoxSession> sessions) {
+        modelTime.measure(() -> grant(now, ms, sessions));
         transfers.removeIf(transfer -> {
-            boolean silent = condition.silentTo(transfer.session.zone);
-            boolean done = !silent && transfer.advance();
-            if (silent || transfer.held()) {
+            boolean silent = condition.isUnreachableFrom(transfer.session.zone);
+            boolean done = !silent && transfer.sendGrantedBytes();
+            if (silent || transfer.isReaderLimited()) {
                 // Not the link holds it back but its reader, or a cut.
                 transfer.session.idleMs += ms;
             }
--- a/standin/src/main/java/spanrill/standin/box/BoxNotes.java
+++ b/standin/src/main/java/spanrill/standin/box/NoteStreams.java
@@ -13,11 +13,11 @@
 import spanrill.wire.http.Headers;
 
 /** The notes streams of one box, one for each front that asked. */
-final class BoxNotes {
+final class NoteStreams {
     private final EventLoop loop;
     private final Map<Integer, Exchange> streams = new HashMap<>();
 
-    BoxNotes(EventLoop loop) {
+    NoteStreams(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -30,11 +30,11 @@
         }
         exchange.start(200, Headers.of("content-type", "text/tab-separated-values"), -1);
         streams.put(Integer.parseInt(front), exchange);
-        tell(Integer.parseInt(front), new Note(Note.Kind.HELLO, "", process));
+        send(Integer.parseInt(front), new Note(Note.Kind.HELLO, "", process));
     }
 
     /** Tells now. A front that doesn't read its notes misses them. */
-    void tell(int front, Note note) {
+    void send(int front, Note note) {
         Exchange exchange = streams.get(front);
         if (exchange != null && !exchange.isEnded() && exchange.isWritable()) {
             exchange.write(Unpooled.wrappedBuffer(note.format().getBytes(StandardCharsets.US_ASCII)));
@@ -42,12 +42,12 @@
     }
 
     /** Tells after a time, if that may still be told then. */
-    void tellLate(double ms, BooleanSupplier still, int front, Note... notes) {
+    void sendDelayed(double ms, BooleanSupplier still, int front, Note... notes) {
         loop.schedule(
                 () -> {
                     if (still.getAsBoolean()) {
                         for (Note note : notes) {
-                            tell(front, note);
+                            send(front, note);
                         }
                     }
                 },
@@ -56,7 +56,7 @@
     }
 
     /** Forgets streams that have ended. */
-    void sweep() {
+    void removeEnded() {
         streams.values().removeIf(Exchange::isEnded);
     }
 
--- a/standin/src/main/java/spanrill/standin/box/Receipts.java
+++ b/standin/src/main/java/spanrill/standin/box/ReceivedBytes.java
@@ -5,22 +5,22 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Media bytes that viewers' sockets gave, by token. Safe from any thread. */
-public final class Receipts {
+public final class ReceivedBytes {
     private final Map<String, LongAdder> byToken = new ConcurrentHashMap<>();
 
     /** The count of a token. */
-    public LongAdder of(String token) {
+    public LongAdder counter(String token) {
         return byToken.computeIfAbsent(token, k -> new LongAdder());
     }
 
     /** Bytes so far, 0 for a token that never came. */
-    public long sum(String token) {
+    public long total(String token) {
         LongAdder adder = byToken.get(token);
         return adder == null ? 0 : adder.sum();
     }
 
     /** A token's session is over. */
-    public void forget(String token) {
+    public void remove(String token) {
         byToken.remove(token);
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/Transfer.java
+++ b/standin/src/main/java/spanrill/standin/box/SegmentTransfer.java
@@ -3,7 +3,7 @@
 import spanrill.wire.http.Exchange;
 
 /** A segment on its way out, as fast as its session's bucket lets it. */
-final class Transfer {
+final class SegmentTransfer {
     private static final int MOST_PART = 64 * 1024;
 
     final Exchange exchange;
@@ -12,7 +12,7 @@
     private long next;
     private long left;
 
-    Transfer(Exchange exchange, BoxSession session, String segment, long from, long bytes) {
+    SegmentTransfer(Exchange exchange, BoxSession session, String segment, long from, long bytes) {
         this.exchange = exchange;
         this.session = session;
         this.segment = segment;
@@ -21,18 +21,18 @@
     }
 
     /** True when its reader took less than it might have had. */
-    boolean held() {
+    boolean isReaderLimited() {
         return left > 0 && session.bucket.availableBytes() > 0;
     }
 
     /** Writes what is due; true when it is done. */
-    boolean advance() {
+    boolean sendGrantedBytes() {
         if (exchange.isEnded()) {
             return true;
         }
         while (left > 0 && session.bucket.availableBytes() > 0 && exchange.isWritable()) {
             int bytes = (int) Math.min(Math.min(left, MOST_PART), session.bucket.availableBytes());
-            exchange.write(Media.part(segment, next, bytes));
+            exchange.write(MediaBytes.slice(segment, next, bytes));
             next += bytes;
             left -= bytes;
             session.bucket.consume(bytes);
--- a/standin/src/main/java/spanrill/standin/box/FlowLedger.java
+++ b/standin/src/main/java/spanrill/standin/box/SessionSecondRecorder.java
@@ -6,24 +6,24 @@
 import spanrill.results.SecondRow;
 
 /** Closes each second of each session: what it asked, was granted by the model, and its viewer received. */
-final class FlowLedger {
+final class SessionSecondRecorder {
     /** A session that asked for nothing for longer than this was not busy in that second. */
     private static final double IDLE_MS = 25;
 
     private final LinkNetwork network;
-    private final Receipts receipts;
+    private final ReceivedBytes receipts;
     private final ParquetRows<SecondRow> rows;
     private long[] changesBefore = new long[0];
     private double at = Double.NaN;
     private int second;
 
-    FlowLedger(LinkNetwork network, Receipts receipts, ParquetRows<SecondRow> rows) {
+    SessionSecondRecorder(LinkNetwork network, ReceivedBytes receipts, ParquetRows<SecondRow> rows) {
         this.network = network;
         this.receipts = receipts;
         this.rows = rows;
     }
 
-    void second(double now, List<StandinBox> boxes) {
+    void recordSecond(double now, List<StandinBox> boxes) {
         if (rows == null) {
             return;
         }
@@ -40,7 +40,7 @@
         for (StandinBox box : boxes) {
             for (BoxSession session : box.sessions()) {
                 double granted = network.grantedBytes(now, session.flow);
-                long received = receipts.sum(session.token);
+                long received = receipts.total(session.token);
                 // A session that began within the second has no whole second to show.
                 if (session.receivedBefore >= 0 && ms > 0) {
                     rows.add(new SecondRow(
--- a/standin/src/main/java/spanrill/standin/box/StandinBox.java
+++ b/standin/src/main/java/spanrill/standin/box/StandinBox.java
@@ -21,7 +21,7 @@
 import spanrill.model.box.BoxParameters;
 import spanrill.model.box.BoxProcess;
 import spanrill.model.link.LinkNetwork;
-import spanrill.standin.Net;
+import spanrill.standin.LoopbackServer;
 import spanrill.wire.box.BoxLink;
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
@@ -41,12 +41,12 @@
     private final EventLoop loop;
     private final EventRecorder tap;
     private final UniformRandomProvider random;
-    private final Condition condition = new Condition();
+    private final Impairments condition = new Impairments();
     private final Map<String, BoxSession> sessions = new LinkedHashMap<>();
     private final BoxParameters rules;
-    private final BoxShaper shaper;
-    private final BoxTeller teller;
-    private final BoxNotes notes;
+    private final MediaSender shaper;
+    private final LoadReporter teller;
+    private final NoteStreams notes;
     private final Set<Channel> connections = new LinkedHashSet<>();
     private final List<Runnable> parked = new ArrayList<>();
     private Channel server;
@@ -67,7 +67,7 @@
             EventLoop loop,
             EventRecorder tap,
             long seed,
-            ModelTime modelTime) {
+            LinkModelTimer modelTime) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
@@ -78,7 +78,7 @@
         this.loop = loop;
         this.tap = tap;
         random = RandomStreams.of(seed, id);
-        notes = new BoxNotes(loop);
+        notes = new NoteStreams(loop);
         Day.Boxes all = day.boxes();
         rules = new BoxParameters(
                 all.places(),
@@ -88,8 +88,8 @@
                 day.rules().fallMultiple(),
                 day.rules().fallMs(),
                 TURNED_AWAY_AT);
-        shaper = new BoxShaper(day, network, cell, condition, modelTime);
-        teller = new BoxTeller(day, network, cell, rack, notes, condition);
+        shaper = new MediaSender(day, network, cell, condition, modelTime);
+        teller = new LoadReporter(day, network, cell, rack, notes, condition);
     }
 
     /** Its name. */
@@ -118,22 +118,22 @@
     }
 
     /** What troubles do to it. */
-    public Condition condition() {
+    public Impairments impairments() {
         return condition;
     }
 
     /** Its link, kB a second, without troubles. */
-    public double linkKb() {
+    public double linkKilobytesPerS() {
         return linkKb;
     }
 
     /** Start of its process in ms since 1970; 0 when long ago. */
-    public double listedStart() {
+    public double processStartMs() {
         return Double.isInfinite(startedAt) ? 0 : process;
     }
 
     /** True while its process runs. */
-    public boolean up() {
+    public boolean isRunning() {
         return server != null;
     }
 
@@ -142,12 +142,12 @@
     }
 
     /** Sessions that it plays. */
-    public int playing() {
+    public int activeSessions() {
         return sessions.size();
     }
 
     /** Set-ups that spent something. */
-    public long spends() {
+    public long spendingSetUps() {
         return spends;
     }
 
@@ -158,7 +158,7 @@
         life = new BoxProcess(rules, startedAt, random);
         condition.mute = false;
         long started = process;
-        Net.bind(loop, port, connections::add, this::route).addListener(future -> {
+        LoopbackServer.bind(loop, port, connections::add, this::route).addListener(future -> {
             if (!future.isSuccess()) {
                 if (process == started) {
                     // The port is still being given back.
@@ -167,13 +167,13 @@
                 return;
             }
             server = ((io.netty.channel.ChannelFuture) future).channel();
-            port = Net.port(server);
+            port = LoopbackServer.port(server);
             tap.record(new TraceEvent.BoxStarted(tap.nowMs(), id, cold));
         });
     }
 
     /** Its process dies: all connections are reset. */
-    public void die(String why) {
+    public void terminate(String why) {
         if (server == null) {
             return;
         }
@@ -191,7 +191,7 @@
             connection.close();
         }
         connections.clear();
-        sessions.values().forEach(session -> shaper.leave(tap.nowMs(), session));
+        sessions.values().forEach(session -> shaper.removeSession(tap.nowMs(), session));
         sessions.clear();
         shaper.clear();
         notes.clear();
@@ -204,7 +204,7 @@
     }
 
     /** It goes silent, or comes back to life with what waits in its sockets. */
-    public void mute(boolean on) {
+    public void setUnresponsive(boolean on) {
         condition.mute = on;
         tap.record(new TraceEvent.BoxMuted(tap.nowMs(), id, on, null));
         if (!on) {
@@ -213,11 +213,11 @@
     }
 
     /** A hall can't reach it, or can again. */
-    public void cut(String from, boolean on) {
+    public void setUnreachableFrom(String from, boolean on) {
         if (condition.cut.contains(from) == on) {
             return;
         }
-        condition.cut(from, on);
+        condition.setUnreachableFrom(from, on);
         tap.record(new TraceEvent.BoxMuted(tap.nowMs(), id, on, from));
         if (!on) {
             unpark();
@@ -234,7 +234,7 @@
 
     private void route(Exchange exchange) {
         String from = exchange.head().headers().get(BoxLink.ZONE);
-        if (condition.silentTo(from == null ? "" : from)) {
+        if (condition.isUnreachableFrom(from == null ? "" : from)) {
             // It stays unread: whoever gives up before it is read again was never heard.
             parked.add(() -> {
                 if (!exchange.isEnded()) {
@@ -288,7 +288,7 @@
                 h.get(BoxLink.CONTINUES)));
         BoxProcess.SetUpDecision reply = life.setUp(now, key, network.linkUtilization(cell), condition.slow);
         if (reply instanceof BoxProcess.SetUpDecision.Crashes) {
-            die("pushed over");
+            terminate("pushed over");
         } else if (reply instanceof BoxProcess.SetUpDecision.AlreadyKnown) {
             answer(exchange, key, 409, null);
         } else if (reply instanceof BoxProcess.SetUpDecision.Rejected away) {
@@ -318,7 +318,7 @@
         if (own != life || server == null) {
             return;
         }
-        if (condition.silentTo(session.zone)) {
+        if (condition.isUnreachableFrom(session.zone)) {
             parked.add(() -> ready(exchange, session, own, spend));
             return;
         }
@@ -326,7 +326,7 @@
             return;
         }
         double now = tap.nowMs();
-        shaper.join(now, session);
+        shaper.addSession(now, session);
         sessions.put(session.key, session);
         session.process = life;
         session.seenAt = now;
@@ -339,10 +339,10 @@
         }
         tap.record(new TraceEvent.SetUpAnswer(now, session.key, 200, null));
         Headers headers = Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load()), "content-type", "video/mp4");
-        exchange.start(200, headers, Media.INIT_BYTES);
-        exchange.write(Media.part(session.title, 0, Media.INIT_BYTES));
+        exchange.start(200, headers, MediaBytes.INIT_BYTES);
+        exchange.write(MediaBytes.slice(session.title, 0, MediaBytes.INIT_BYTES));
         exchange.end();
-        teller.began(session);
+        teller.reportSessionStart(session);
     }
 
     private void answer(Exchange exchange, String key, int status, String reason) {
@@ -393,31 +393,31 @@
                 exchange.respond(400, new Headers(), new byte[0]);
                 return;
             }
-            shaper.rung(tap.nowMs(), session, Integer.parseInt(to));
+            shaper.changeRung(tap.nowMs(), session, Integer.parseInt(to));
             tap.record(new TraceEvent.RungChanged(tap.nowMs(), key, session.rung));
             exchange.respond(204, Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load())), new byte[0]);
         } else {
             session.seenAt = tap.nowMs();
-            shaper.segment(exchange, session, name);
+            shaper.startSegment(exchange, session, name);
         }
     }
 
     private void end(String key, String why) {
         BoxSession session = sessions.remove(key);
         if (session != null) {
-            shaper.leave(tap.nowMs(), session);
+            shaper.removeSession(tap.nowMs(), session);
         }
         tap.record(new TraceEvent.AttemptEnded(tap.nowMs(), key, why));
     }
 
     /** Each second: the share delivered. */
-    void tellShare() {
-        teller.share(sessions.values(), this::plays);
+    void reportDeliveredShare() {
+        teller.reportDeliveredShare(sessions.values(), this::plays);
     }
 
     /** At the stated interval: how full link and uplink are. */
-    void tellUse() {
-        teller.use(sessions.values(), this::plays);
+    void reportLinkUse() {
+        teller.reportLinkUse(sessions.values(), this::plays);
     }
 
     /** True while the process that a session was set up at runs, whether or not the session plays on. */
@@ -426,12 +426,12 @@
     }
 
     /** Moves its bytes on. */
-    void advance(double now, double ms) {
-        shaper.advance(now, ms, sessions.values());
+    void sendGrantedBytes(double now, double ms) {
+        shaper.sendGrantedBytes(now, ms, sessions.values());
     }
 
     /** Ends sessions that nobody asks for any more. */
-    void sweep(double now) {
+    void endIdleSessions(double now) {
         List<BoxSession> due = new ArrayList<>();
         for (BoxSession session : sessions.values()) {
             if (now - session.seenAt > IDLE_MS) {
@@ -441,9 +441,9 @@
         for (BoxSession session : due) {
             life.onSessionEnded(session.key);
             end(session.key, "idle");
-            teller.ended(session);
+            teller.reportSessionEnd(session);
         }
         connections.removeIf(channel -> !channel.isActive());
-        notes.sweep();
+        notes.removeEnded();
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/PumpBox.java
+++ b/standin/src/main/java/spanrill/standin/box/UnshapedBox.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import spanrill.standin.Net;
+import spanrill.standin.LoopbackServer;
 import spanrill.wire.box.BoxLink;
 import spanrill.wire.box.Note;
 import spanrill.wire.http.Exchange;
@@ -18,34 +18,35 @@
  * A box without a link: every set-up runs at once, every segment comes as fast as it is read. For
  * measuring.
  */
-public final class PumpBox {
+public final class UnshapedBox {
     private static final int PART = 64 * 1024;
     private final Channel server;
     private final long segmentBytes;
     private final Map<String, String> lastAttempt = new HashMap<>();
 
     /** Listens on a port that the system picks. */
-    public PumpBox(EventLoop loop, long segmentBytes) throws IOException {
+    public UnshapedBox(EventLoop loop, long segmentBytes) throws IOException {
         this.segmentBytes = segmentBytes;
-        server = Net.listen(loop, 0, channel -> {}, this::route);
+        server = LoopbackServer.listen(loop, 0, channel -> {}, this::route);
     }
 
     /** Its port. */
     public int port() {
-        return Net.port(server);
+        return LoopbackServer.port(server);
     }
 
     private void route(Exchange exchange) {
         String path = exchange.head().path();
         if (path.equals(BoxLink.SETUP_PATH)) {
             lastAttempt.put(front(exchange), exchange.head().headers().get(BoxLink.ATTEMPT_KEY));
-            exchange.respond(200, Headers.of(BoxLink.LOAD, "inflight=1;x0=0.1;x1=0.1"), new byte[Media.INIT_BYTES]);
+            exchange.respond(
+                    200, Headers.of(BoxLink.LOAD, "inflight=1;x0=0.1;x1=0.1"), new byte[MediaBytes.INIT_BYTES]);
         } else if (path.equals(BoxLink.NOTES_PATH)) {
             exchange.start(200, new Headers(), -1);
             exchange.write(Unpooled.copiedBuffer("hello\t\t1\n", StandardCharsets.US_ASCII));
             tell(exchange, front(exchange));
         } else if (exchange.head().method().equals("GET")) {
-            pump(exchange, path.endsWith("init.mp4") ? Media.INIT_BYTES : segmentBytes);
+            pump(exchange, path.endsWith("init.mp4") ? MediaBytes.INIT_BYTES : segmentBytes);
         } else {
             exchange.respond(204, new Headers(), new byte[0]);
         }
@@ -82,7 +83,7 @@
         Runnable more = () -> {
             while (left[0] > 0 && exchange.isWritable() && !exchange.isEnded()) {
                 int part = (int) Math.min(PART, left[0]);
-                exchange.write(Media.part("pump", bytes - left[0], part));
+                exchange.write(MediaBytes.slice("pump", bytes - left[0], part));
                 left[0] -= part;
             }
             if (left[0] == 0) {
--- a/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
+++ b/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
@@ -21,7 +21,7 @@
 import spanrill.day.Day;
 import spanrill.day.DayPlan;
 import spanrill.model.RandomStreams;
-import spanrill.standin.Net;
+import spanrill.standin.LoopbackServer;
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
@@ -56,7 +56,7 @@
     }
 
     /** Adds a title to the catalogue; before it listens. */
-    public void title(String name, int home, int copies, long durationMs, List<Long> segmentMs, double audioKb) {
+    public void addTitle(String name, int home, int copies, long durationMs, List<Long> segmentMs, double audioKb) {
         ObjectNode title = titles.addObject()
                 .put("name", name)
                 .put("home", home)
@@ -73,10 +73,10 @@
     }
 
     /** Adds all titles of a day, placed by its seed; before it listens. */
-    public void catalogue(Day day, long seed) {
+    public void addTitlesOf(Day day, long seed) {
         List<int[]> placement = new DayPlan(day, seed).titlePlacements();
         for (int i = 0; i < placement.size(); i++) {
-            title(
+            addTitle(
                     "title-" + i,
                     placement.get(i)[0],
                     placement.get(i)[1],
@@ -87,18 +87,18 @@
     }
 
     /** Lists boxes that every front knows from the start; before it listens. */
-    public void begin(Collection<Entry> boxes) {
+    public void addBoxes(Collection<Entry> boxes) {
         boxes.forEach(box -> truth.put(box.id(), box));
     }
 
     /** Opens it on a port that the system picks. */
     public int listen() throws IOException {
-        server = Net.listen(loop, 0, channel -> {}, this::route);
-        return Net.port(server);
+        server = LoopbackServer.listen(loop, 0, channel -> {}, this::route);
+        return LoopbackServer.port(server);
     }
 
     /** A box changed; each front hears it so much later, drawn from the range. On the loop. */
-    public void change(Entry box, List<Double> lateMs) {
+    public void updateBox(Entry box, List<Double> lateMs) {
         truth.put(box.id(), box);
         for (View view : views.values()) {
             loop.schedule(() -> hear(view, box), (long) RandomStreams.uniform(random, lateMs), TimeUnit.MILLISECONDS);
@@ -106,7 +106,7 @@
     }
 
     /** How a box is listed now. */
-    public Entry entry(String id) {
+    public Entry currentEntry(String id) {
         return truth.get(id);
     }
 
--- a/standin/src/main/java/spanrill/standin/token/Issuer.java
+++ b/standin/src/main/java/spanrill/standin/token/Issuer.java
@@ -40,7 +40,7 @@
     }
 
     /** An issuer with a new ES256 key. */
-    public static Issuer fresh(String keyId) throws JOSEException {
+    public static Issuer generate(String keyId) throws JOSEException {
         return new Issuer(new ECKeyGenerator(Curve.P_256).keyID(keyId).generate());
     }
 
@@ -58,20 +58,21 @@
     }
 
     /** What a verifier needs, as a JWK set: public for EC keys; the secret itself for oct keys. */
-    public JWK published() {
+    public JWK verificationKey() {
         return key instanceof ECKey ? key.toPublicJWK() : key;
     }
 
     /** Writes the keys that verify tokens of these issuers, in one step. */
-    public static void publish(Path file, Issuer... issuers) throws IOException {
+    public static void writeVerificationKeys(Path file, Issuer... issuers) throws IOException {
         write(
                 file,
-                new JWKSet(
-                        java.util.Arrays.stream(issuers).map(Issuer::published).toList()));
+                new JWKSet(java.util.Arrays.stream(issuers)
+                        .map(Issuer::verificationKey)
+                        .toList()));
     }
 
     /** Writes this issuer's own key. */
-    public void save(Path file) throws IOException {
+    public void writePrivateKey(Path file) throws IOException {
         write(file, new JWKSet(key));
     }
 
--- a/standin/src/main/java/spanrill/standin/token/IssuerService.java
+++ b/standin/src/main/java/spanrill/standin/token/IssuerService.java
@@ -4,7 +4,7 @@
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.UUID;
-import spanrill.standin.Net;
+import spanrill.standin.LoopbackServer;
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
@@ -24,14 +24,17 @@
 
     /** Listens on a port that the system picks, and gives it. */
     public static int listen(EventLoop loop, Issuer issuer) throws IOException {
-        return Net.port(Net.listen(loop, 0, channel -> {}, new IssuerService(issuer)::route));
+        return LoopbackServer.port(LoopbackServer.listen(loop, 0, channel -> {}, new IssuerService(issuer)::route));
     }
 
     private void route(Exchange exchange) {
         switch (exchange.head().path()) {
             case "/keys" ->
                 exchange.respond(
-                        200, new Headers(), "application/jwk-set+json", new JWKSet(issuer.published()).toString(false));
+                        200,
+                        new Headers(),
+                        "application/jwk-set+json",
+                        new JWKSet(issuer.verificationKey()).toString(false));
             case "/token" -> token(exchange);
             default -> exchange.respond(404, new Headers(), "text/plain", "there is /token and /keys\n");
         }
--- a/standin/src/main/java/spanrill/standin/trouble/Director.java
+++ b/standin/src/main/java/spanrill/standin/trouble/FaultInjector.java
@@ -14,24 +14,24 @@
 import spanrill.standin.registry.StandinRegistry;
 
 /** Does the effects of a day's troubles to real boxes and fronts. On the loop of the boxes. */
-public final class Director {
+public final class FaultInjector {
     private final Day day;
     private final List<Effect> effects;
     private final BoxFleet fleet;
     private final StandinRegistry registry;
-    private final Fronts fronts;
+    private final FrontControl fronts;
     private final HallNetwork halls;
     private final HallHealNotifier watch;
     private final EventLoop loop;
     private final Consumer<String> say;
 
     /** A director that tells what it does. */
-    public Director(
+    public FaultInjector(
             Day day,
             List<Effect> effects,
             BoxFleet fleet,
             StandinRegistry registry,
-            Fronts fronts,
+            FrontControl fronts,
             HallHealNotifier watch,
             EventLoop loop,
             Consumer<String> say) {
@@ -65,7 +65,7 @@
     private void run(Effect effect) {
         if (effect instanceof Effect.BoxStops e) {
             boolean announced = e.reason().equals("replaced");
-            box(e.box()).die(e.reason());
+            box(e.box()).terminate(e.reason());
             listed(
                     box(e.box()),
                     "gone",
@@ -80,18 +80,18 @@
             box(e.box()).drain();
             listed(box(e.box()), "draining", day.registry().noticeMs());
         } else if (effect instanceof Effect.BoxHangs e) {
-            box(e.box()).mute(true);
+            box(e.box()).setUnresponsive(true);
             listed(box(e.box()), "gone", day.registry().silentMs());
         } else if (effect instanceof Effect.BoxSlowdown e) {
-            box(e.box()).condition().slow(e.factor());
+            box(e.box()).impairments().setSetUpSlowdown(e.factor());
         } else if (effect instanceof Effect.BoxLinkShare e) {
-            fleet.link(e.box(), e.share());
+            fleet.setLinkShare(e.box(), e.share());
         } else if (effect instanceof Effect.BoxNoteDelay e) {
-            box(e.box()).condition().late(e.delayMs());
+            box(e.box()).impairments().setNoteDelayMs(e.delayMs());
         } else if (effect instanceof Effect.BoxAnswerLoss e) {
-            box(e.box()).condition().answerLost(e.share());
+            box(e.box()).impairments().setLostAnswerShare(e.share());
         } else if (effect instanceof Effect.RackUplinkShare e) {
-            fleet.uplink(e.rack(), e.share());
+            fleet.setUplinkShare(e.rack(), e.share());
         } else if (effect instanceof Effect.HallIsolation e) {
             cut(e.hall(), e.isolated());
         } else if (effect instanceof Effect.FrontStops e) {
@@ -116,7 +116,7 @@
         boolean healed = !on && halls.heal(hall);
         for (StandinBox box : fleet.boxes()) {
             for (int from = 0; from < halls.size(); from++) {
-                box.cut(halls.name(from), !halls.canReach(from, halls.indexOf(box.zone())));
+                box.setUnreachableFrom(halls.name(from), !halls.canReach(from, halls.indexOf(box.zone())));
             }
         }
         if (healed) {
@@ -125,7 +125,7 @@
     }
 
     private void listed(StandinBox box, String state, List<Double> late) {
-        registry.change(
-                new Entry(box.id(), box.port(), box.zone(), "std", box.cell(), state, 1, box.listedStart()), late);
+        registry.updateBox(
+                new Entry(box.id(), box.port(), box.zone(), "std", box.cell(), state, 1, box.processStartMs()), late);
     }
 }
--- a/standin/src/main/java/spanrill/standin/trouble/Fronts.java
+++ b/standin/src/main/java/spanrill/standin/trouble/FrontControl.java
@@ -1,7 +1,7 @@
 package spanrill.standin.trouble;
 
 /** What troubles may do to fronts. */
-public interface Fronts {
+public interface FrontControl {
     /** How many. */
     int count();
 
--- a/standin/src/main/java/spanrill/standin/viewer/AnswerProbe.java
+++ b/standin/src/main/java/spanrill/standin/viewer/AnswerProbe.java
@@ -10,23 +10,23 @@
 /** Asks for one session and tells what the answer was; the connection is closed then. For measuring. */
 public final class AnswerProbe {
     /** What came of it. */
-    public enum Came {
+    public enum Outcome {
         /** It plays. */
         PLAYS,
         /** Told to come again: refused, or no room. */
-        TOLD_TO_WAIT,
+        RETRY_LATER,
         /** Any other answer. */
         OTHER,
         /** No connection, or it was lost. */
         NO_CONNECTION,
         /** No answer within the patience. */
-        NONE
+        TIMED_OUT
     }
 
     /** Hears what came of it, once, on the loop. */
     public interface Listener {
         /** What came. */
-        void came(Came what);
+        void onOutcome(AnswerProbe.Outcome what);
     }
 
     private final Listener listener;
@@ -41,7 +41,8 @@
     /** Asks, and waits so long. */
     public static void ask(EventLoop loop, InetSocketAddress front, String target, long patienceMs, Listener listener) {
         AnswerProbe probe = new AnswerProbe(listener);
-        probe.patience = loop.schedule(() -> probe.end(Came.NONE), patienceMs, TimeUnit.MILLISECONDS);
+        probe.patience =
+                loop.schedule(() -> probe.end(AnswerProbe.Outcome.TIMED_OUT), patienceMs, TimeUnit.MILLISECONDS);
         HttpClientConnection.open(
                 loop,
                 front,
@@ -53,30 +54,32 @@
                         opened.abort();
                         return;
                     }
-                    ClientLink link = new ClientLink(false, () -> {}, (head, all) -> {
+                    ResponseReader link = new ResponseReader(false, () -> {}, (head, all) -> {
                         String answer = head == null ? null : head.headers().get("spanrill-answer");
                         probe.end(
                                 head == null
-                                        ? Came.NO_CONNECTION
+                                        ? AnswerProbe.Outcome.NO_CONNECTION
                                         : "plays".equals(answer)
-                                                ? Came.PLAYS
-                                                : head.status() == 503 ? Came.TOLD_TO_WAIT : Came.OTHER);
+                                                ? AnswerProbe.Outcome.PLAYS
+                                                : head.status() == 503
+                                                        ? AnswerProbe.Outcome.RETRY_LATER
+                                                        : AnswerProbe.Outcome.OTHER);
                     });
-                    if (!ClientLink.get(opened, target, link)) {
-                        probe.end(Came.NO_CONNECTION);
+                    if (!ResponseReader.get(opened, target, link)) {
+                        probe.end(AnswerProbe.Outcome.NO_CONNECTION);
                     }
                 },
-                cause -> probe.end(Came.NO_CONNECTION));
+                cause -> probe.end(AnswerProbe.Outcome.NO_CONNECTION));
     }
 
-    private void end(Came what) {
+    private void end(AnswerProbe.Outcome what) {
         if (!over) {
             over = true;
             patience.cancel(false);
             if (connection != null) {
                 connection.abort();
             }
-            listener.came(what);
+            listener.onOutcome(what);
         }
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/FrontDoor.java
+++ b/standin/src/main/java/spanrill/standin/viewer/FrontLocator.java
@@ -1,7 +1,7 @@
 package spanrill.standin.viewer;
 
 /** Where viewers find fronts just now. Safe from any thread. */
-public interface FrontDoor {
+public interface FrontLocator {
     /**
      * A front for a viewer of a hall.
      *
--- a/standin/src/main/java/spanrill/standin/viewer/ClientLink.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ResponseReader.java
@@ -10,11 +10,11 @@
 import spanrill.wire.http.ResponseHead;
 
 /** One request of a viewer whose answer is read whole; large bodies are counted, not kept. */
-final class ClientLink implements HttpClientConnection.Listener {
+final class ResponseReader implements HttpClientConnection.Listener {
     private static final int KEPT_BYTES = 64 * 1024;
 
     private final Runnable onHead;
-    private final BiConsumer<ResponseHead, ClientLink> done;
+    private final BiConsumer<ResponseHead, ResponseReader> done;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final boolean keep;
     private ResponseHead head;
@@ -29,26 +29,26 @@
      * @param onHead called at the head
      * @param done called at the end, with null for the head when the answer was lost
      */
-    ClientLink(boolean keep, Runnable onHead, BiConsumer<ResponseHead, ClientLink> done) {
+    ResponseReader(boolean keep, Runnable onHead, BiConsumer<ResponseHead, ResponseReader> done) {
         this.keep = keep;
         this.onHead = onHead;
         this.done = done;
     }
 
-    static boolean get(HttpClientConnection connection, String target, ClientLink link) {
+    static boolean get(HttpClientConnection connection, String target, ResponseReader link) {
         return connection.send("GET", target, Headers.of("host", "front"), new byte[0], link);
     }
 
     /** Adds each part to this count as it comes. */
-    void count(LongAdder received) {
+    void countBytesIn(LongAdder received) {
         counter = received;
     }
 
-    boolean over() {
+    boolean isDone() {
         return over;
     }
 
-    ResponseHead seen() {
+    ResponseHead head() {
         return head;
     }
 
@@ -60,7 +60,7 @@
         return body.toString(StandardCharsets.UTF_8);
     }
 
-    void forget() {
+    void ignore() {
         over = true;
     }
 
--- a/standin/src/main/java/spanrill/standin/viewer/Puller.java
+++ b/standin/src/main/java/spanrill/standin/viewer/SegmentReader.java
@@ -11,7 +11,7 @@
 import spanrill.wire.http.ResponseHead;
 
 /** Reads one path over and over on one connection, as fast as it comes. For measuring. */
-public final class Puller implements HttpClientConnection.Listener {
+public final class SegmentReader implements HttpClientConnection.Listener {
     private final String target;
     private final LongAdder bytes;
     private final Consumer<String> fault;
@@ -19,7 +19,7 @@
     private volatile boolean stopped;
 
     /** Reads a path; bytes are added up, an answer other than 200 is told. */
-    public Puller(String target, LongAdder bytes, Consumer<String> fault) {
+    public SegmentReader(String target, LongAdder bytes, Consumer<String> fault) {
         this.target = target;
         this.bytes = bytes;
         this.fault = fault;
--- a/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
+++ b/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
@@ -27,7 +27,7 @@
                 2000,
                 HttpLimits.CLIENT,
                 connection -> {
-                    ClientLink link = new ClientLink(true, () -> {}, (head, all) -> {
+                    ResponseReader link = new ResponseReader(true, () -> {}, (head, all) -> {
                         connection.abort();
                         if (head == null || head.status() != 200) {
                             not.accept(new IOException(head == null ? "connection lost" : "answered " + head.status()));
@@ -39,7 +39,7 @@
                             not.accept(fault);
                         }
                     });
-                    if (!ClientLink.get(connection, "/dash/" + title + "/manifest.mpd?token=" + token, link)) {
+                    if (!ResponseReader.get(connection, "/dash/" + title + "/manifest.mpd?token=" + token, link)) {
                         not.accept(new IOException("connection lost"));
                     }
                 },
--- a/standin/src/main/java/spanrill/standin/viewer/Viewer.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Viewer.java
@@ -30,11 +30,11 @@
     private static final long TOKEN_S = 900;
     private static final double LOOK_MS = 500;
 
-    private final Stage stage;
+    private final ViewerContext stage;
     private final Arrival arrival;
     private final ViewerTraits traits;
     private final EventLoop loop;
-    private final CrowdStats stats;
+    private final ViewerStats stats;
     private final UniformRandomProvider random;
     private final String title;
     private final boolean waits;
@@ -51,7 +51,7 @@
     private Mpd mpd;
     private boolean fetching;
 
-    Viewer(Stage stage, Arrival arrival, EventLoop loop) {
+    Viewer(ViewerContext stage, Arrival arrival, EventLoop loop) {
         this.stage = stage;
         this.arrival = arrival;
         this.loop = loop;
@@ -70,7 +70,7 @@
         return loop.schedule(action, (long) (ms * 1000), TimeUnit.MICROSECONDS);
     }
 
-    void come() {
+    void arrive() {
         stage.tap().record(new TraceEvent.ViewerArrived(now(), name(), traits.serviceClass()));
         player = new Player(traits, now(), stage.day().viewers().returnMs());
         newToken();
@@ -81,22 +81,22 @@
 
     /** True when its device has no network and tries again the moment that its hall is healed. */
     private boolean waitsForHall() {
-        return waits && stage.halls().runWhenHealed(traits.hall(), () -> loop.execute(this::ask));
+        return waits && stage.hallWatch().runWhenHealed(traits.hall(), () -> loop.execute(this::ask));
     }
 
     private String name() {
-        return stage.run() + "-t" + arrival.number();
+        return stage.runId() + "-t" + arrival.number();
     }
 
     private void newToken() {
         if (tokenId != null) {
-            stage.receipts().forget(tokenId);
+            stage.receivedBytes().remove(tokenId);
         }
         tokens++;
         tokenId = name() + "." + tokens;
         token = stage.issuer()
                 .issue(tokenId, "v" + arrival.number(), title, traits.serviceClass(), null, traits.topRung(), TOKEN_S);
-        received = stage.receipts().of(tokenId);
+        received = stage.receivedBytes().counter(tokenId);
     }
 
     /** Goes on as its player says; {@code why} is what it goes with when it doesn't come again. */
@@ -105,7 +105,7 @@
             if (again.newToken()) {
                 newToken();
             }
-            stats.returns.increment();
+            stats.retries.increment();
             if (!waitsForHall()) {
                 after(again.afterMs(), this::ask);
             }
@@ -127,7 +127,7 @@
         stats.playedMs.add(Math.round(player.playedMs()));
         stats.stalledMs.add(Math.round(player.stalledMs()));
         stats.stalls.add(player.stalls());
-        stage.receipts().forget(tokenId);
+        stage.receivedBytes().remove(tokenId);
     }
 
     // ---- asking
@@ -135,7 +135,7 @@
     private void ask() {
         player.onRequestSent();
         boolean first = player.requestCount() == 1;
-        front = stage.door().pick(traits.hall(), random.nextDouble());
+        front = stage.frontLocator().pick(traits.hall(), random.nextDouble());
         connect(
                 opened -> {
                     connection = opened;
@@ -159,7 +159,7 @@
                     }
                 },
                 () -> {
-                    stats.lost.increment();
+                    stats.connectionsLost.increment();
                     follow(player.onConnectionLost(now(), true), "no front");
                 });
     }
@@ -169,7 +169,7 @@
     }
 
     private void connect(Opened opened, Runnable failed) {
-        int port = stage.door().port(front);
+        int port = stage.frontLocator().port(front);
         if (port == 0) {
             failed.run();
             return;
@@ -189,16 +189,16 @@
         stage.tap()
                 .record(new TraceEvent.Request(
                         now(), number, front, tokenId, traits.serviceClass(), title, traits.patienceMs()));
-        stats.asks.increment();
+        stats.requests.increment();
         // A second answer comes when nothing is asked any more: the checker must see that too.
         on.onUnsolicitedData(() -> stage.tap().record(new TraceEvent.Answer(now(), number, 0, "unasked")));
         double at = now();
-        ClientLink[] link = new ClientLink[1];
-        link[0] = new ClientLink(
+        ResponseReader[] link = new ResponseReader[1];
+        link[0] = new ResponseReader(
                 true,
                 () -> stage.tap()
                         .record(new TraceEvent.Answer(
-                                now(), number, link[0].seen().status(), answerOf(link[0].seen()))),
+                                now(), number, link[0].head().status(), answerOf(link[0].head()))),
                 (head, all) -> {
                     if (first) {
                         answered(head, all, at);
@@ -206,7 +206,7 @@
                         second(on, number, head);
                     }
                 });
-        if (!ClientLink.get(on, "/dash/" + title + "/manifest.mpd?token=" + token, link[0])) {
+        if (!ResponseReader.get(on, "/dash/" + title + "/manifest.mpd?token=" + token, link[0])) {
             link[0].onFailure(HttpClientConnection.Failure.CLOSED, "closed");
         }
         return number;
@@ -245,7 +245,7 @@
         }
     }
 
-    private void answered(ResponseHead head, ClientLink link, double at) {
+    private void answered(ResponseHead head, ResponseReader link, double at) {
         if (!waiting) {
             return;
         }
@@ -253,7 +253,7 @@
         patience.cancel(false);
         if (head == null) {
             stage.tap().record(new TraceEvent.RequestAborted(now(), ask, false));
-            stats.lost.increment();
+            stats.connectionsLost.increment();
             // Whether something was spent isn't known: who has paid asks the issuer, not the next front.
             follow(
                     player.onConnectionLost(
@@ -266,7 +266,7 @@
         stats.count(answer);
         switch (answer) {
             case "plays" -> {
-                stats.setUp.recordValue((long) Math.max(1, (now() - at) * 1000));
+                stats.setUpMicros.recordValue((long) Math.max(1, (now() - at) * 1000));
                 play(link.text());
                 if (traits.replaysToken()) {
                     connect(second -> request(second, false), () -> {});
@@ -306,13 +306,14 @@
                 .map(each -> each.bandwidth() + audio)
                 .toList();
         Action first = player.onPlaying(now(), ladder, mpd.nominalSegmentMs(), mpd.segmentCount());
-        if (!ClientLink.get(connection, mpd.baseUrl() + "v/init.mp4", new ClientLink(false, () -> {}, (head, link) -> {
-            if (head != null && head.status() == 200) {
-                follow(first, "watched");
-            } else {
-                broken(head);
-            }
-        }))) {
+        if (!ResponseReader.get(
+                connection, mpd.baseUrl() + "v/init.mp4", new ResponseReader(false, () -> {}, (head, link) -> {
+                    if (head != null && head.status() == 200) {
+                        follow(first, "watched");
+                    } else {
+                        broken(head);
+                    }
+                }))) {
             broken(null);
         }
     }
@@ -320,10 +321,10 @@
     private void fetch(Action.Fetch fetch) {
         player.onFetchStarted(now());
         Mpd.Representation rung = mpd.videoRepresentations().get(fetch.rung());
-        ClientLink link = new ClientLink(false, () -> {}, (head, all) -> video(head, all, fetch.number()));
-        link.count(received);
+        ResponseReader link = new ResponseReader(false, () -> {}, (head, all) -> video(head, all, fetch.number()));
+        link.countBytesIn(received);
         fetching = true;
-        if (!ClientLink.get(connection, mpd.baseUrl() + mpd.video().segmentPath(rung, fetch.number()), link)) {
+        if (!ResponseReader.get(connection, mpd.baseUrl() + mpd.video().segmentPath(rung, fetch.number()), link)) {
             fetching = false;
             broken(null);
             return;
@@ -336,39 +337,39 @@
     }
 
     /** Looks from time to time whether the viewer still has patience with the segment under way. */
-    private void look(ClientLink link) {
+    private void look(ResponseReader link) {
         after(LOOK_MS, () -> {
-            if (!fetching || link.over()) {
+            if (!fetching || link.isDone()) {
                 return;
             }
             Action next = player.checkPatience(now());
             if (next == null) {
                 look(link);
             } else {
-                link.forget();
+                link.ignore();
                 fetching = false;
                 connection.abort();
-                stats.gaveUp.increment();
+                stats.sessionsAbandoned.increment();
                 tooSlow();
             }
         });
     }
 
     /** A segment of video came, or was lost; its audio comes next where there is any. */
-    private void video(ResponseHead head, ClientLink link, int number) {
+    private void video(ResponseHead head, ResponseReader link, int number) {
         Mpd.AdaptationSet audio = mpd.audio();
         if (head == null || head.status() != 200 || audio == null) {
             segment(head, link.bytes(), number);
             return;
         }
-        ClientLink next = new ClientLink(
+        ResponseReader next = new ResponseReader(
                 false,
                 () -> {},
                 (other, all) -> segment(
                         other == null || other.status() != 200 ? other : head, link.bytes() + all.bytes(), number));
-        next.count(received);
+        next.countBytesIn(received);
         String path = mpd.baseUrl() + audio.segmentPath(audio.representations().get(0), number);
-        if (ClientLink.get(connection, path, next)) {
+        if (ResponseReader.get(connection, path, next)) {
             look(next);
         } else {
             fetching = false;
@@ -387,8 +388,8 @@
         double now = now();
         stage.tap().record(new TraceEvent.SegmentReceived(now, tokenId, front, served, bytes, 0));
         stats.segments.increment();
-        stats.bytes.add(bytes);
-        stats.rungs.add(Math.max(0, served));
+        stats.mediaBytes.add(bytes);
+        stats.rungSum.add(Math.max(0, served));
         // Bytes are scaled, bandwidths in the MPD are not.
         follow(
                 player.onSegmentReceived(
@@ -399,14 +400,14 @@
     }
 
     private void finish(boolean lostPatience) {
-        (lostPatience ? stats.gaveUp : stats.finished).increment();
+        (lostPatience ? stats.sessionsAbandoned : stats.sessionsFinished).increment();
         String target = mpd.baseUrl().substring(0, mpd.baseUrl().length() - 1);
         if (!connection.send(
                 "DELETE",
                 target,
                 Headers.of("host", "front"),
                 new byte[0],
-                new ClientLink(false, () -> {}, (head, link) -> connection.abort()))) {
+                new ResponseReader(false, () -> {}, (head, link) -> connection.abort()))) {
             connection.abort();
         }
         if (lostPatience) {
--- a/standin/src/main/java/spanrill/standin/viewer/Crowd.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ViewerLoadGenerator.java
@@ -10,13 +10,13 @@
  * All viewers of a day. They come at the times of the plan whatever becomes of those before (open loop), and
  * how late they were sent is measured.
  */
-public final class Crowd {
-    private final Stage stage;
+public final class ViewerLoadGenerator {
+    private final ViewerContext stage;
     private final List<Arrival> arrivals;
     private final EventLoopGroup loops;
 
     /** A crowd that comes when {@link #start} is called. */
-    public Crowd(Stage stage, List<Arrival> arrivals, EventLoopGroup loops) {
+    public ViewerLoadGenerator(ViewerContext stage, List<Arrival> arrivals, EventLoopGroup loops) {
         this.stage = stage;
         this.arrivals = arrivals;
         this.loops = loops;
@@ -30,8 +30,8 @@
             loop.schedule(
                     () -> {
                         double late = stage.tap().nowMs() - begin - arrival.atMs();
-                        stage.stats().late.recordValue((long) Math.max(0, late * 1000));
-                        new Viewer(stage, arrival, loop).come();
+                        stage.stats().arrivalDelayMicros.recordValue((long) Math.max(0, late * 1000));
+                        new Viewer(stage, arrival, loop).arrive();
                     },
                     (long) (arrival.atMs() * 1000),
                     TimeUnit.MICROSECONDS);
@@ -39,7 +39,7 @@
     }
 
     /** What it met with so far. */
-    public CrowdStats stats() {
+    public ViewerStats stats() {
         return stage.stats();
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/CrowdStats.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ViewerStats.java
@@ -5,9 +5,9 @@
 import org.HdrHistogram.Histogram;
 
 /** What a crowd met with. Safe from any thread. */
-public final class CrowdStats {
+public final class ViewerStats {
     /** Requests written. */
-    public final LongAdder asks = new LongAdder();
+    public final LongAdder requests = new LongAdder();
     /** Answered: plays. */
     public final LongAdder plays = new LongAdder();
     /** Answered: refused. */
@@ -15,29 +15,29 @@
     /** Answered: failed. */
     public final LongAdder failed = new LongAdder();
     /** Connections that could not be had, or were lost. */
-    public final LongAdder lost = new LongAdder();
+    public final LongAdder connectionsLost = new LongAdder();
     /** Sessions played to their end. */
-    public final LongAdder finished = new LongAdder();
+    public final LongAdder sessionsFinished = new LongAdder();
     /** Left for want of rate. */
-    public final LongAdder gaveUp = new LongAdder();
+    public final LongAdder sessionsAbandoned = new LongAdder();
     /** Came again after a refusal or a break. */
-    public final LongAdder returns = new LongAdder();
+    public final LongAdder retries = new LongAdder();
     /** Stalls. */
     public final LongAdder stalls = new LongAdder();
     /** Segments read. */
     public final LongAdder segments = new LongAdder();
     /** Bytes of media read. */
-    public final LongAdder bytes = new LongAdder();
+    public final LongAdder mediaBytes = new LongAdder();
     /** Milliseconds played. */
     public final LongAdder playedMs = new LongAdder();
     /** Milliseconds stalled. */
     public final LongAdder stalledMs = new LongAdder();
     /** Sum of rungs over segments. */
-    public final LongAdder rungs = new LongAdder();
+    public final LongAdder rungSum = new LongAdder();
     /** Time from request to "plays", microseconds. */
-    public final Histogram setUp = new ConcurrentHistogram(60_000_000, 3);
+    public final Histogram setUpMicros = new ConcurrentHistogram(60_000_000, 3);
     /** How late arrivals were sent, microseconds. */
-    public final Histogram late = new ConcurrentHistogram(60_000_000, 3);
+    public final Histogram arrivalDelayMicros = new ConcurrentHistogram(60_000_000, 3);
 
     /** Counts an answer. */
     void count(String answer) {
--- a/standin/src/test/java/spanrill/standin/RogueFront.java
+++ b/standin/src/test/java/spanrill/standin/FaultyFront.java
@@ -17,7 +17,7 @@
 import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 import spanrill.standin.box.BoxFleet;
-import spanrill.standin.box.Receipts;
+import spanrill.standin.box.ReceivedBytes;
 import spanrill.standin.box.StandinBox;
 import spanrill.wire.box.BoxLink;
 import spanrill.wire.http.Headers;
@@ -29,7 +29,7 @@
  * A driver of real boxes on sockets that does whatever a front must not, so that the checker is seen to
  * catch it.
  */
-final class RogueFront implements AutoCloseable {
+final class FaultyFront implements AutoCloseable {
     static final Day DAY = new Day(
             1,
             60_000,
@@ -55,17 +55,17 @@
             List.of());
 
     final EventRecorder tap = new EventRecorder(null);
-    final Receipts receipts = new Receipts();
+    final ReceivedBytes receipts = new ReceivedBytes();
     final BoxFleet fleet;
     final EventLoop loop;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private long asks;
 
-    RogueFront() throws Exception {
+    FaultyFront() throws Exception {
         this(null);
     }
 
-    RogueFront(ParquetRows<SecondRow> rows) throws Exception {
+    FaultyFront(ParquetRows<SecondRow> rows) throws Exception {
         loop = group.next();
         tap.record(new TraceEvent.RunParameters(
                 0,
--- a/standin/src/test/java/spanrill/standin/PlantedFaultsTest.java
+++ b/standin/src/test/java/spanrill/standin/PlantedFaultsTest.java
@@ -18,11 +18,11 @@
 /** Faults planted on sockets: stand-in boxes record them, the checker must name their rule. */
 @Timeout(60)
 class PlantedFaultsTest {
-    private RogueFront front;
+    private FaultyFront front;
 
     @BeforeEach
     void start() throws Exception {
-        front = new RogueFront();
+        front = new FaultyFront();
     }
 
     @AfterEach
@@ -54,7 +54,7 @@
 
     @Test
     void aDriverThatResendsAPaidSetUpAfterATimeOut() throws Exception {
-        front.on(() -> front.fleet.boxes().get(0).condition().answerLost(1));
+        front.on(() -> front.fleet.boxes().get(0).impairments().setLostAnswerShare(1));
         long ask = front.ask("t", "paid");
         assertEquals(0, front.setUp(0, "t", 1, "paid", 1));
         release(0, "t.1");
@@ -62,7 +62,11 @@
         front.answer(ask, "plays");
         assertEquals(List.of(2), front.broken());
         assertEquals(
-                2, front.fleet.boxes().stream().mapToLong(StandinBox::spends).sum(), "the ticket spent twice");
+                2,
+                front.fleet.boxes().stream()
+                        .mapToLong(StandinBox::spendingSetUps)
+                        .sum(),
+                "the ticket spent twice");
     }
 
     @Test
@@ -88,7 +92,7 @@
     void aDriverThatFloodsAColdBox() throws Exception {
         StandinBox box = front.fleet.boxes().get(0);
         front.on(() -> {
-            box.die("test");
+            box.terminate("test");
             box.start(true);
         });
         CompletableFuture<Void> up = new CompletableFuture<>();
@@ -107,7 +111,7 @@
 
     private void awaitUp(StandinBox box, CompletableFuture<Void> up) {
         front.loop.execute(() -> {
-            if (box.up()) {
+            if (box.isRunning()) {
                 up.complete(null);
             } else {
                 awaitUp(box, up);
--- a/standin/src/test/java/spanrill/standin/SharedLinkTest.java
+++ b/standin/src/test/java/spanrill/standin/SharedLinkTest.java
@@ -69,11 +69,11 @@
     void fortySessionsShareALinkThatDropsToAQuarterAndAnUplinkThatIsShort(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("seconds.parquet");
         try (ParquetRows<SecondRow> rows = new ParquetRows<>(file, SecondRow.class);
-                RogueFront front = new RogueFront(rows)) {
+                FaultyFront front = new FaultyFront(rows)) {
             for (int i = 0; i < SESSIONS; i++) {
                 int box = i % 2;
                 assertEquals(200, front.setUp(box, "t" + i, 1, "free", 2));
-                Reader reader = new Reader("t" + i + ".1", front.receipts.of("t" + i));
+                Reader reader = new Reader("t" + i + ".1", front.receipts.counter("t" + i));
                 HttpClientConnection.open(
                         front.loop,
                         new InetSocketAddress(
@@ -87,11 +87,11 @@
                         cause -> {});
             }
             // 20 x 6 kB/s on each box of 500: a link of a sixth is short; then the uplink alone.
-            front.on(() -> front.fleet.link(0, 0.1));
+            front.on(() -> front.fleet.setLinkShare(0, 0.1));
             seconds(front, 4);
             front.on(() -> {
-                front.fleet.link(0, 1);
-                front.fleet.uplink(0, 0.08);
+                front.fleet.setLinkShare(0, 1);
+                front.fleet.setUplinkShare(0, 0.08);
             });
             seconds(front, 4);
         }
@@ -101,7 +101,7 @@
         assertTrue(result.receivedVsRule().count() > 100, result.toString());
     }
 
-    private static void seconds(RogueFront front, int seconds) throws Exception {
+    private static void seconds(FaultyFront front, int seconds) throws Exception {
         front.loop.schedule(() -> {}, seconds, TimeUnit.SECONDS).get(seconds + 5, TimeUnit.SECONDS);
     }
 }
