--- a/cli/src/main/java/spanrill/cli/SoakCommand.java
+++ b/cli/src/main/java/spanrill/cli/SoakCommand.java
@@ -16,10 +16,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import spanrill.soak.EventKind;
-import spanrill.soak.RunCommand;
-import spanrill.soak.Soak;
+import spanrill.soak.NodeLaunchCommand;
+import spanrill.soak.SoakRunner;
 import spanrill.soak.Trial;
-import spanrill.soak.TrialDraw;
+import spanrill.soak.TrialGenerator;
 import spanrill.soak.TrialKind;
 import spanrill.soak.TrialResult;
 
@@ -80,10 +80,12 @@
         }
         Path folder = logs == null ? Files.createTempDirectory("spanrill-soak") : logs;
         PrintWriter out = spec.commandLine().getOut();
-        Soak soak = new Soak(
-                RunCommand.of(home.toAbsolutePath().normalize()), folder.toAbsolutePath(), line -> print(out, line));
-        List<TrialResult> results = soak.play(trials, atOnce);
-        print(out, Soak.table(results));
+        SoakRunner soak = new SoakRunner(
+                NodeLaunchCommand.fromDeployFile(home.toAbsolutePath().normalize()),
+                folder.toAbsolutePath(),
+                line -> print(out, line));
+        List<TrialResult> results = soak.run(trials, atOnce);
+        print(out, SoakRunner.summaryTable(results));
         if (report != null) {
             write(results);
         }
@@ -109,7 +111,8 @@
             long to = Long.parseLong(ends[ends.length - 1]);
             if (ends.length <= 2 && from <= to && to - from < 10_000) {
                 return LongStream.rangeClosed(from, to)
-                        .mapToObj(seed -> kind == null ? TrialDraw.of(seed) : TrialDraw.of(seed, kind))
+                        .mapToObj(seed ->
+                                kind == null ? TrialGenerator.generate(seed) : TrialGenerator.generate(seed, kind))
                         .toList();
             }
         } catch (NumberFormatException e) {
@@ -128,14 +131,14 @@
                     .put("requests", result.count(EventKind.CLIENT_SENT))
                     .put("faults", result.trial().faults().size())
                     .put("void", result.voidReason())
-                    .put("lagMs", result.mostLagMs());
+                    .put("lagMs", result.maxLagMs());
             ArrayNode broken = one.putArray("broken");
             result.violations()
                     .forEach(v -> broken.addObject()
                             .put("rule", v.rule().name())
-                            .put("ms", v.ms())
+                            .put("ms", v.atMs())
                             .put("request", Long.toHexString(v.session()))
-                            .put("text", v.text()));
+                            .put("text", v.description()));
         }
         mapper.writerWithDefaultPrettyPrinter().writeValue(report.toFile(), all);
     }
--- a/cli/src/test/java/spanrill/cli/SoakTest.java
+++ b/cli/src/test/java/spanrill/cli/SoakTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import spanrill.soak.RunCommand;
-import spanrill.soak.Soak;
-import spanrill.soak.TrialDraw;
+import spanrill.soak.NodeLaunchCommand;
+import spanrill.soak.SoakRunner;
+import spanrill.soak.TrialGenerator;
 import spanrill.soak.TrialResult;
 
 /** A short soak of real node processes, one trial of each kind. */
@@ -25,18 +25,23 @@
 
     @Test
     void oneTrialOfEachKindBreaksNoRule() throws Exception {
-        RunCommand command = RunCommand.of(Path.of("..").toAbsolutePath().normalize());
-        List<TrialResult> results = new Soak(command, folder, System.out::println)
-                .play(LongStream.rangeClosed(101, 105).mapToObj(TrialDraw::of).toList(), 2);
+        NodeLaunchCommand command =
+                NodeLaunchCommand.fromDeployFile(Path.of("..").toAbsolutePath().normalize());
+        List<TrialResult> results = new SoakRunner(command, folder, System.out::println)
+                .run(
+                        LongStream.rangeClosed(101, 105)
+                                .mapToObj(TrialGenerator::generate)
+                                .toList(),
+                        2);
         for (TrialResult result : results) {
             TrialResult last = result;
             // A trial whose own peers were late says nothing: it is played again, alone.
             for (int i = 1; i < TRIES && !last.voidReason().isEmpty(); i++) {
-                last = new Soak(command, folder.resolve("again" + i), System.out::println)
-                        .play(List.of(result.trial()), 1)
+                last = new SoakRunner(command, folder.resolve("again" + i), System.out::println)
+                        .run(List.of(result.trial()), 1)
                         .get(0);
             }
-            assertTrue(last.passed(), Soak.report(last));
+            assertTrue(last.passed(), SoakRunner.formatResult(last));
         }
     }
 
--- a/soak/src/main/java/spanrill/soak/Judge.java
+++ b/soak/src/main/java/spanrill/soak/Judge.java
@@ -53,7 +53,7 @@
         violations.addAll(new DrainJudge(events, lives).violations());
         violations.addAll(new ColdJudge(trial, events).violations());
         violations.addAll(new ReleaseJudge(events, lives, requests).violations());
-        violations.sort(Comparator.comparingDouble(Violation::ms));
+        violations.sort(Comparator.comparingDouble(Violation::atMs));
         return violations;
     }
 
--- a/soak/src/main/java/spanrill/soak/RunCommand.java
+++ b/soak/src/main/java/spanrill/soak/NodeLaunchCommand.java
@@ -12,7 +12,7 @@
  * @param home the folder that it is started in
  * @param command for the shell
  */
-public record RunCommand(Path home, String command) {
+public record NodeLaunchCommand(Path home, String command) {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
 
     /**
@@ -20,12 +20,12 @@
      *
      * @throws IOException when there is no such file, or no such line in it
      */
-    public static RunCommand of(Path home) throws IOException {
+    public static NodeLaunchCommand fromDeployFile(Path home) throws IOException {
         Path file = home.resolve("deploy/balancer.toml");
         Matcher run = RUN.matcher(Files.readString(file));
         if (!run.find()) {
             throw new IOException(file + ": has no line 'run = \"...\"'");
         }
-        return new RunCommand(home, run.group(1));
+        return new NodeLaunchCommand(home, run.group(1));
     }
 }
--- a/soak/src/main/java/spanrill/soak/NodeProcess.java
+++ b/soak/src/main/java/spanrill/soak/NodeProcess.java
@@ -21,14 +21,14 @@
 
     private final int index;
     private final InetSocketAddress address;
-    private final RunCommand command;
+    private final NodeLaunchCommand command;
     private final Path folder;
     private Process process;
     private int starts;
     private Phase phase = Phase.DOWN;
     private double changedAt;
 
-    NodeProcess(int index, RunCommand command, Path folder) throws IOException {
+    NodeProcess(int index, NodeLaunchCommand command, Path folder) throws IOException {
         this.index = index;
         this.command = command;
         this.folder = folder;
--- a/soak/src/main/java/spanrill/soak/Soak.java
+++ b/soak/src/main/java/spanrill/soak/SoakRunner.java
@@ -12,13 +12,13 @@
 import java.util.function.Consumer;
 
 /** Plays many trials, a few at a time, and sums them up. */
-public final class Soak {
-    private final RunCommand command;
+public final class SoakRunner {
+    private final NodeLaunchCommand command;
     private final Path folder;
     private final Consumer<String> out;
 
     /** Trials of nodes that are started by a command; each leaves its logs in a folder of its own. */
-    public Soak(RunCommand command, Path folder, Consumer<String> out) {
+    public SoakRunner(NodeLaunchCommand command, Path folder, Consumer<String> out) {
         this.command = command;
         this.folder = folder;
         this.out = out;
@@ -29,7 +29,7 @@
      *
      * @param atOnce so many side by side
      */
-    public List<TrialResult> play(List<Trial> trials, int atOnce) throws IOException, InterruptedException {
+    public List<TrialResult> run(List<Trial> trials, int atOnce) throws IOException, InterruptedException {
         ExecutorService workers = Executors.newFixedThreadPool(atOnce);
         try {
             List<Future<TrialResult>> running = new ArrayList<>();
@@ -63,12 +63,12 @@
                 command,
                 folder.resolve(
                         "seed-" + trial.seed() + "-" + trial.kind().name().toLowerCase(Locale.ROOT)));
-        out.accept(report(result));
+        out.accept(formatResult(result));
         return result;
     }
 
     /** A line on a trial; below it what was broken, with the timeline of the first request concerned. */
-    public static String report(TrialResult result) {
+    public static String formatResult(TrialResult result) {
         Trial trial = result.trial();
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
@@ -79,7 +79,7 @@
                 trial.longestDeadlineMs(),
                 result.count(EventKind.CLIENT_SENT),
                 trial.faults().size(),
-                result.mostLagMs(),
+                result.maxLagMs(),
                 result.voidReason().isEmpty()
                         ? result.violations().isEmpty()
                                 ? "passed"
@@ -121,7 +121,7 @@
     }
 
     /** A table by kind of trial. */
-    public static String table(List<TrialResult> results) {
+    public static String summaryTable(List<TrialResult> results) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%-10s %6s %9s %7s %7s %6s %5s  %s%n",
--- a/soak/src/main/java/spanrill/soak/TrialDraw.java
+++ b/soak/src/main/java/spanrill/soak/TrialGenerator.java
@@ -10,7 +10,7 @@
 import spanrill.soak.Trial.ServerHabits;
 
 /** Draws trials from seeds: the same seed and kind, the same trial. */
-public final class TrialDraw {
+public final class TrialGenerator {
     private static final double[] DEADLINES_MS = {200, 400, 1019, 1500, 3500, 6000};
     private static final double LEAST_LENGTH_MS = 7000;
     private static final double MOST_LENGTH_MS = 11_000;
@@ -28,19 +28,19 @@
     private int servers;
     private double lengthMs;
 
-    private TrialDraw(long seed, TrialKind kind) {
+    private TrialGenerator(long seed, TrialKind kind) {
         random = new SplittableRandom(seed);
         this.kind = kind;
     }
 
     /** The trial of a seed, its kind by turns. */
-    public static Trial of(long seed) {
-        return of(seed, TrialKind.values()[Math.floorMod(seed, TrialKind.values().length)]);
+    public static Trial generate(long seed) {
+        return generate(seed, TrialKind.values()[Math.floorMod(seed, TrialKind.values().length)]);
     }
 
     /** The trial of a seed and a kind. */
-    public static Trial of(long seed, TrialKind kind) {
-        return new TrialDraw(seed, kind).draw(seed);
+    public static Trial generate(long seed, TrialKind kind) {
+        return new TrialGenerator(seed, kind).draw(seed);
     }
 
     private Trial draw(long seed) {
--- a/soak/src/main/java/spanrill/soak/TrialResult.java
+++ b/soak/src/main/java/spanrill/soak/TrialResult.java
@@ -7,7 +7,7 @@
  * What a trial came to.
  *
  * @param voidReason why it says nothing, or empty
- * @param mostLagMs how late the peers were at most by their own scheduling, ms
+ * @param maxLagMs how late the peers were at most by their own scheduling, ms
  * @param folder where its logs are
  */
 public record TrialResult(
@@ -15,7 +15,7 @@
         List<Violation> violations,
         List<SoakEvent> events,
         String voidReason,
-        double mostLagMs,
+        double maxLagMs,
         Path folder) {
     /** True when it says something, and no rule was broken. */
     public boolean passed() {
--- a/soak/src/main/java/spanrill/soak/TrialRun.java
+++ b/soak/src/main/java/spanrill/soak/TrialRun.java
@@ -46,7 +46,7 @@
     private double mostLagMs;
     private boolean ending;
 
-    private TrialRun(Trial trial, RunCommand command, Path folder) throws IOException {
+    private TrialRun(Trial trial, NodeLaunchCommand command, Path folder) throws IOException {
         this.trial = trial;
         this.folder = folder;
         SplittableRandom random = new SplittableRandom(~trial.seed());
@@ -60,7 +60,7 @@
     }
 
     /** Plays a trial; files of its processes and the log of its events are left in the folder. */
-    public static TrialResult play(Trial trial, RunCommand command, Path folder)
+    public static TrialResult play(Trial trial, NodeLaunchCommand command, Path folder)
             throws IOException, InterruptedException {
         Files.createDirectories(folder);
         return new TrialRun(trial, command, folder).play();
--- a/soak/src/main/java/spanrill/soak/Violation.java
+++ b/soak/src/main/java/spanrill/soak/Violation.java
@@ -5,12 +5,12 @@
 /**
  * A rule that was broken.
  *
- * @param ms when, ms of the trial
+ * @param atMs when, ms of the trial
  * @param session the request or session concerned, or 0
  */
-public record Violation(Rule rule, double ms, long session, String text) {
+public record Violation(Rule rule, double atMs, long session, String description) {
     /** As a line of a report. */
     public String line() {
-        return String.format(Locale.ROOT, "%-11s %8.1f id %016x: %s", rule, ms, session, text);
+        return String.format(Locale.ROOT, "%-11s %8.1f id %016x: %s", rule, atMs, session, description);
     }
 }
--- a/soak/src/test/java/spanrill/soak/JudgeTest.java
+++ b/soak/src/test/java/spanrill/soak/JudgeTest.java
@@ -12,7 +12,7 @@
 class JudgeTest {
     private static final int NODE = 0;
     private static final int WAIT_MS = 1000;
-    private final Trial trial = TrialDraw.of(3, TrialKind.NETWORK);
+    private final Trial trial = TrialGenerator.generate(3, TrialKind.NETWORK);
     private final String safe = trial.classes().get(0).name();
     private final String paid = trial.classes().get(1).name();
     private final List<SoakEvent> events = new ArrayList<>();
@@ -220,7 +220,7 @@
     @Test
     void theSameSeedDrawsTheSameTrial() {
         for (long seed = 1; seed <= 50; seed++) {
-            assertEquals(TrialDraw.of(seed), TrialDraw.of(seed));
+            assertEquals(TrialGenerator.generate(seed), TrialGenerator.generate(seed));
         }
     }
 }
