--- a/soak/src/main/java/spanrill/soak/NodeProcess.java
+++ b/soak/src/main/java/spanrill/soak/NodeProcess.java
@@ -78,7 +78,7 @@
         return process;
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
--- a/soak/src/main/java/spanrill/soak/SoakRunner.java
+++ b/soak/src/main/java/spanrill/soak/SoakRunner.java
@@ -148,8 +148,8 @@
     }
 
     private static String row(String name, List<TrialResult> subset) {
-        long voids = subset.stream().filter(r -> !r.voidReason().isEmpty()).count();
-        long passed = subset.stream().filter(TrialResult::passed).count();
+        long voidCount = subset.stream().filter(r -> !r.voidReason().isEmpty()).count();
+        long passedCount = subset.stream().filter(TrialResult::passed).count();
         StringBuilder rules = new StringBuilder();
         for (Rule rule : Rule.values()) {
             long broken = subset.stream()
@@ -167,9 +167,9 @@
                 subset.size(),
                 subset.stream().mapToLong(r -> r.count(EventKind.CLIENT_SENT)).sum(),
                 subset.stream().mapToInt(r -> r.trial().faults().size()).sum(),
-                passed,
-                subset.size() - voids - passed,
-                voids,
+                passedCount,
+                subset.size() - voidCount - passedCount,
+                voidCount,
                 rules.toString().trim());
     }
 }
--- a/soak/src/main/java/spanrill/soak/Sockets.java
+++ b/soak/src/main/java/spanrill/soak/Sockets.java
@@ -36,7 +36,7 @@
         ChannelFuture bound = bind(loop, port, handler).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException(
-                    "can't listen on port " + port + ": " + bound.cause().getMessage());
+                    "cannot listen on port " + port + ": " + bound.cause().getMessage());
         }
         return bound.channel();
     }
--- a/soak/src/main/java/spanrill/soak/TrialRun.java
+++ b/soak/src/main/java/spanrill/soak/TrialRun.java
@@ -24,7 +24,10 @@
     private static final double READY_POLL_MS = 40;
     private static final long READY_TIMEOUT_S = 30;
     private static final double TICK_PERIOD_MS = 10;
-    /** Longest timer delay of the peers, ms; with a longer one, limits extended by only 50 ms cannot be checked. */
+    /**
+     * Maximum timer delay of the peers, ms. A trial with a longer delay is void, because it cannot check limits with a
+     * tolerance of 50 ms.
+     */
     private static final double MAX_PEER_LAG_MS = 100;
 
     private static final double POST_KILL_WAIT_MS = 150;
@@ -89,7 +92,7 @@
                             : "");
         } finally {
             for (NodeProcess node : nodes) {
-                if (node.alive()) {
+                if (node.isAlive()) {
                     node.kill();
                 }
             }
@@ -116,7 +119,7 @@
 
     /** Returns a violation for each node log with an exception; it quotes the first such line. */
     private List<Violation> loggedExceptions() throws IOException {
-        List<Violation> found = new ArrayList<>();
+        List<Violation> violations = new ArrayList<>();
         try (Stream<Path> files = Files.list(directory)) {
             for (Path file : files.filter(f -> f.getFileName().toString().matches("n\\d+-\\d+\\.log"))
                     .toList()) {
@@ -124,11 +127,11 @@
                         .filter(line ->
                                 line.contains("core.fault") || line.contains("Exception") || line.contains("Error"))
                         .findFirst()
-                        .ifPresent(
-                                line -> found.add(new Violation(Rule.CRASH, 0, 0, file.getFileName() + ": " + line)));
+                        .ifPresent(line ->
+                                violations.add(new Violation(Rule.CRASH, 0, 0, file.getFileName() + ": " + line)));
             }
         }
-        return found;
+        return violations;
     }
 
     // ---- load and faults
@@ -252,7 +255,7 @@
         node.enterPhase(NodeProcess.Phase.STOPPING, log.elapsedMs());
         node.terminate();
         timers.schedule(trial.killAfterMs(), () -> {
-            if (node.alive()) {
+            if (node.isAlive()) {
                 log.add(EventKind.NODE_KILL, node.index(), "", 0);
                 node.kill();
             }
@@ -270,7 +273,7 @@
 
     private void scheduleRestart(NodeProcess node, double restartDelayMs) {
         timers.schedule(restartDelayMs, () -> {
-            if (node.alive()) {
+            if (node.isAlive()) {
                 scheduleRestart(node, TICK_PERIOD_MS);
             } else if (!stopping) {
                 startNode(node);
@@ -283,14 +286,14 @@
             return;
         }
         setPaused(node, true);
-        // Scheduled on the loop, since Timers drops actions after the end: a paused process handles no other signal but
-        // SIGKILL.
+        // Timers drops actions after the end of the trial, but the node must be resumed even then: while paused it does
+        // not handle SIGTERM.
         loop.schedule(() -> setPaused(node, false), (long) durationMs, TimeUnit.MILLISECONDS);
     }
 
     private static void setPaused(NodeProcess node, boolean paused) {
         try {
-            if (node.alive()) {
+            if (node.isAlive()) {
                 node.setPaused(paused);
             }
         } catch (IOException e) {
