--- a/front/src/main/java/spanrill/front/EventLog.java
+++ b/front/src/main/java/spanrill/front/EventLog.java
@@ -7,10 +7,7 @@
 import org.slf4j.LoggerFactory;
 import spanrill.session.EventSink;
 
-/**
- * Structured logs: one line an event, with the event's name and its fields (docs/operators.md lists
- * them).
- */
+/** Structured log: one line per event, with the name and the fields of the event (listed in docs/operators.md). */
 public final class EventLog {
     private static final Logger LOG = LoggerFactory.getLogger("spanrill.front");
 
@@ -28,29 +25,29 @@
 
     private EventLog() {}
 
-    /** The log as the core writes to it. */
+    /** Returns the event sink through which the session core writes to this log. */
     public static EventSink sink() {
         return SINK;
     }
 
-    /** A thing that operators want to see. */
+    /** Logs an event of normal operation. */
     public static void info(String event, Object... fields) {
         if (LOG.isInfoEnabled()) {
             LOG.info(event, arguments(null, fields));
         }
     }
 
-    /** Something is wrong outside this program. */
+    /** Logs a problem outside this program. */
     public static void warn(String event, Object... fields) {
         LOG.warn(event, arguments(null, fields));
     }
 
-    /** A fault of this program. */
+    /** Logs a fault of this program. */
     public static void error(String event, Throwable cause, Object... fields) {
         LOG.error(event, arguments(cause, fields));
     }
 
-    /** The event's name is the message, which the encoder writes as "event"; the rest are its fields. */
+    /** Returns the log arguments. The event name is the log message, which the encoder writes as "event". */
     private static Object[] arguments(Throwable cause, Object... fields) {
         List<Object> arguments = new ArrayList<>(fields.length / 2 + 1);
         for (int i = 0; i + 1 < fields.length; i += 2) {
--- a/front/src/main/java/spanrill/front/FrontDaemon.java
+++ b/front/src/main/java/spanrill/front/FrontDaemon.java
@@ -29,87 +29,99 @@
 import spanrill.wire.http.HttpServer;
 import spanrill.wire.http.HttpServerHandler;
 
-/** A front that runs: one event loop with its core, viewer side, box side and list. */
+/** A running front: one event loop with the session core, the DASH routes, the box client and the registry client. */
 public final class FrontDaemon implements AutoCloseable {
-    private static final long KEYS_LOOK_MS = 1000;
-    private static final long IDLE_CONNECTION_MS = 60_000;
-    private static final int PIPELINED_BYTES = 16 * 1024;
+    private static final long KEY_RELOAD_INTERVAL_MS = 1000;
+    private static final long CONNECTION_IDLE_TIMEOUT_MS = 60_000;
+    private static final int MAX_PIPELINED_BYTES = 16 * 1024;
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final ExecutorService disk = Executors.newSingleThreadExecutor(task -> {
+    private final MultiThreadIoEventLoopGroup eventLoops =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final ExecutorService diskExecutor = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "front-disk");
         thread.setDaemon(true);
         return thread;
     });
     private final FrontSettings settings;
     private final SessionCore core;
-    private final TokenStore tokens;
-    private final HttpBoxClient boxes;
-    private final RegistryClient list;
-    private final TokenKeys keys;
-    private final TokenVerifier gate;
+    private final TokenStore tokenStore;
+    private final HttpBoxClient boxClient;
+    private final RegistryClient registryClient;
+    private final TokenKeys tokenKeys;
+    private final TokenVerifier tokenVerifier;
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
-    private final Channel server;
-    private final ConnectionBudget connections;
+    private final Channel serverChannel;
+    private final ConnectionBudget connectionBudget;
 
-    private FrontDaemon(FrontSettings settings, Path base) throws IOException {
+    private FrontDaemon(FrontSettings settings, Path baseFolder) throws IOException {
         this.settings = settings;
-        EventLoop loop = group.next();
-        connections = new ConnectionBudget(settings.limits().connections());
-        keys = new TokenKeys(base.resolve(settings.keys()), settings.classes().keySet());
-        keys.reload();
+        EventLoop loop = eventLoops.next();
+        connectionBudget = new ConnectionBudget(settings.limits().connections());
+        tokenKeys = new TokenKeys(
+                baseFolder.resolve(settings.keys()), settings.classes().keySet());
+        tokenKeys.reload();
         Clock clock = new Clock();
-        tokens = TokenStore.open(base.resolve(settings.state()), loop);
+        tokenStore = TokenStore.open(baseFolder.resolve(settings.state()), loop);
         core = new SessionCore(
                 settings.coreSettings(),
                 new SessionCore.Host(
-                        new EventLoopScheduler(loop, clock), EventLog.sink(), tokens, new SessionIdGenerator()));
+                        new EventLoopScheduler(loop, clock), EventLog.sink(), tokenStore, new SessionIdGenerator()));
         core.onReady(() -> ready.complete(null));
-        tokens.storedTokens().forEach((token, kept) -> {
-            if (kept.expiresAt() > clock.now()) {
-                core.restoreToken(token, kept.fate() == SpentTokenStore.TokenState.USED, kept.expiresAt());
+        tokenStore.storedTokens().forEach((token, stored) -> {
+            if (stored.expiresAt() > clock.now()) {
+                core.restoreToken(token, stored.state() == SpentTokenStore.TokenState.USED, stored.expiresAt());
             }
         });
-        gate = new TokenVerifier(
-                keys, settings.limits().tokenThreads(), settings.limits().tokenWaiting(), clock::now);
-        BoxDirectory book = new BoxDirectory(settings.limits().boxes());
-        boxes = new HttpBoxClient(settings, loop, core, book::box);
-        list = new RegistryClient(settings, loop, core, book, new BoxListFile(base.resolve(settings.state())), disk);
-        DashRequestRouter viewers = new DashRequestRouter(settings, core, boxes, gate, clock);
+        tokenVerifier = new TokenVerifier(
+                tokenKeys, settings.limits().tokenThreads(), settings.limits().tokenWaiting(), clock::now);
+        BoxDirectory boxDirectory = new BoxDirectory(settings.limits().boxes());
+        boxClient = new HttpBoxClient(settings, loop, core, boxDirectory::box);
+        registryClient = new RegistryClient(
+                settings,
+                loop,
+                core,
+                boxDirectory,
+                new BoxListFile(baseFolder.resolve(settings.state())),
+                diskExecutor);
+        DashRequestRouter router = new DashRequestRouter(settings, core, boxClient, tokenVerifier, clock);
         loop.submit(() -> {
-                    core.start(boxes);
-                    list.start();
+                    core.start(boxClient);
+                    registryClient.start();
                 })
                 .syncUninterruptibly();
-        disk.execute(() -> Thread.currentThread().setPriority(Thread.MIN_PRIORITY));
+        diskExecutor.execute(() -> Thread.currentThread().setPriority(Thread.MIN_PRIORITY));
         loop.scheduleAtFixedRate(
-                () -> disk.execute(this::reloadKeys), KEYS_LOOK_MS, KEYS_LOOK_MS, TimeUnit.MILLISECONDS);
-        server = bind(viewers);
+                () -> diskExecutor.execute(this::reloadKeys),
+                KEY_RELOAD_INTERVAL_MS,
+                KEY_RELOAD_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
+        serverChannel = bind(router);
     }
 
     /**
      * Starts a front.
      *
-     * @param base folder that relative paths of the settings start from
-     * @throws IOException when the keys can't be read or the address can't be had
+     * @param baseFolder folder against which relative paths in the settings are resolved
+     * @throws IOException when the key file or the token store can't be read, or the address can't be bound
      */
-    public static FrontDaemon start(FrontSettings settings, Path base) throws IOException {
-        FrontDaemon daemon = new FrontDaemon(settings, base);
-        EventLog.info("front.listening", "front", settings.me(), "port", daemon.port(), "keys", daemon.keys.keyIds());
+    public static FrontDaemon start(FrontSettings settings, Path baseFolder) throws IOException {
+        FrontDaemon daemon = new FrontDaemon(settings, baseFolder);
+        EventLog.info(
+                "front.listening", "front", settings.me(), "port", daemon.port(), "keys", daemon.tokenKeys.keyIds());
         return daemon;
     }
 
-    private Channel bind(DashRequestRouter viewers) throws IOException {
-        HttpServerHandler.ConnectionLimits times = new HttpServerHandler.ConnectionLimits(
-                settings.limits().requestMs(), IDLE_CONNECTION_MS, PIPELINED_BYTES);
+    private Channel bind(DashRequestRouter router) throws IOException {
+        HttpServerHandler.ConnectionLimits connectionLimits = new HttpServerHandler.ConnectionLimits(
+                settings.limits().requestMs(), CONNECTION_IDLE_TIMEOUT_MS, MAX_PIPELINED_BYTES);
         var future = HttpServer.bind(
-                group,
+                eventLoops,
                 new InetSocketAddress(
                         settings.listen().host(), settings.listen().port()),
                 HttpLimits.SERVER,
-                times,
+                connectionLimits,
                 this::admit,
-                viewers::route,
+                router::route,
                 FrontDaemon::logTlsAttempt);
         if (!future.awaitUninterruptibly().isSuccess()) {
             close();
@@ -120,68 +132,74 @@
         return future.channel();
     }
 
-    private static void logTlsAttempt(HttpProtocolException fault) {
-        if (fault.isTlsHello()) {
-            EventLog.warn("viewer.tls", "reason", fault.getMessage());
+    private static void logTlsAttempt(HttpProtocolException error) {
+        if (error.isTlsHello()) {
+            EventLog.warn("viewer.tls", "reason", error.getMessage());
         }
     }
 
     private boolean admit(Channel channel) {
-        boolean stays = connections.tryOpen();
-        if (stays) {
-            channel.closeFuture().addListener(f -> connections.onClosed());
+        boolean admitted = connectionBudget.tryOpen();
+        if (admitted) {
+            channel.closeFuture().addListener(future -> connectionBudget.onClosed());
         }
-        if (connections.becameFull()) {
-            EventLog.warn("limit.connections", "open", connections.open(), "turnedAway", connections.rejected());
+        if (connectionBudget.becameFull()) {
+            EventLog.warn(
+                    "limit.connections", "open", connectionBudget.open(), "turnedAway", connectionBudget.rejected());
         }
-        return stays;
+        return admitted;
     }
 
     private void reloadKeys() {
         try {
-            if (keys.reload()) {
-                EventLog.info("keys.loaded", "keys", keys.keyIds());
+            if (tokenKeys.reload()) {
+                EventLog.info("keys.loaded", "keys", tokenKeys.keyIds());
             }
         } catch (IOException e) {
             EventLog.warn("keys.unusable", "reason", e.getMessage());
         }
     }
 
-    /** The port that it listens on. */
+    /** Returns the port on which the front listens. */
     public int port() {
-        return ((InetSocketAddress) server.localAddress()).getPort();
+        return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
-    /** Complete once it can serve viewers: boxes and titles are known. */
+    /** Returns a future that completes once boxes and titles are known, so that viewers can be served. */
     public CompletableFuture<Void> ready() {
         return ready;
     }
 
-    /** Sessions held now; may be asked from any thread. */
+    /** Returns the current number of sessions. Must not be called on the event loop. */
     public int sessionCount() {
-        return group.next().submit(core::sessionCount).syncUninterruptibly().getNow();
+        return eventLoops
+                .next()
+                .submit(core::sessionCount)
+                .syncUninterruptibly()
+                .getNow();
     }
 
-    /** Stops at once: what is under way is lost, as when the process is killed. */
+    /** Stops the front at once. Requests and set-ups in progress are lost, as when the process is killed. */
     @Override
     public void close() {
-        if (server != null) {
-            server.close().syncUninterruptibly();
+        if (serverChannel != null) {
+            serverChannel.close().syncUninterruptibly();
         }
-        group.next()
+        eventLoops
+                .next()
                 .submit(() -> {
-                    list.close();
-                    boxes.close();
+                    registryClient.close();
+                    boxClient.close();
                 })
                 .awaitUninterruptibly();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-        gate.close();
-        disk.shutdownNow();
-        tokens.close();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        tokenVerifier.close();
+        diskExecutor.shutdownNow();
+        tokenStore.close();
     }
 
-    /** Waits until it is stopped. */
+    /** Waits until the front is closed. */
     public void join() throws InterruptedException {
-        server.closeFuture().await();
+        serverChannel.closeFuture().await();
     }
 }
--- a/front/src/main/java/spanrill/front/FrontSettings.java
+++ b/front/src/main/java/spanrill/front/FrontSettings.java
@@ -12,25 +12,25 @@
 import spanrill.settings.Range;
 
 /**
- * The settings of one front; the schema of its file.
+ * The settings of one front, and the schema of its settings file.
  *
  * @param me number of this front, from 0
- * @param fronts how many fronts there are
- * @param zone hall of this front
- * @param seed seed of the module's and the front's own draws
- * @param listen where viewers come
- * @param registry where the list of boxes is had
- * @param keys file with the JWK set that tokens are verified by
- * @param state folder for what is kept over a restart
- * @param classes classes of session
- * @param tenants tenants, may be none
- * @param kinds kinds of box
- * @param ladder rates
+ * @param fronts number of fronts
+ * @param zone zone (hall) of this front
+ * @param seed seed of the random numbers of the module and the front
+ * @param listen address on which viewers are served
+ * @param registry address of the registry, which serves the list of boxes
+ * @param keys file with the JWK set that verifies tokens
+ * @param state folder for data that is kept over a restart
+ * @param classes classes of session by name
+ * @param tenants tenants by name, may be empty
+ * @param kinds kinds of box by name
+ * @param ladder rungs and their rates
  * @param fleet the fleet as a whole
- * @param notes how boxes tell of themselves
- * @param rules figures of the rules
- * @param limits bounds of this process
- * @param web players in pages
+ * @param notes timing and cost of the reports of boxes
+ * @param rules parameters of the placement rules
+ * @param limits limits of this process
+ * @param web settings for players in web pages
  */
 public record FrontSettings(
         @Range(min = 0, max = 100_000) int me,
@@ -54,8 +54,8 @@
     /**
      * An address.
      *
-     * @param host loopback or other address
-     * @param port port; 0 for listening on one that the system picks
+     * @param host host name or IP address
+     * @param port TCP port; 0 listens on a free port that the system chooses
      */
     public record Address(
             @Default("\"127.0.0.1\"") @Range(min = 1, max = 255)
@@ -66,14 +66,14 @@
     /**
      * A class of session.
      *
-     * @param aimMs wanted playing within this time
-     * @param patienceMs given up by the viewer after this time
+     * @param aimMs target for the time until a session plays, ms
+     * @param patienceMs time after which the viewer gives up, ms
      * @param worth worth of a second at a rung of worth 1
-     * @param once paid for at set-up
+     * @param once true when a session is paid for at set-up, which may happen only once
      * @param floor lowest rung
      * @param top highest rung
-     * @param scale its rates over the ladder's
-     * @param seats sessions of one title that this front may hold; 0: no cap
+     * @param scale factor of the class's rates relative to the ladder
+     * @param seats maximum number of sessions of one title on this front; 0: no limit
      */
     public record ClassSettings(
             @Range(min = 1, max = 600_000) double aimMs,
@@ -88,8 +88,8 @@
     /**
      * A tenant.
      *
-     * @param share its share of the service
-     * @param quotaPerS new sessions a second over all fronts; null: not limited
+     * @param share share of the service that the tenant may use
+     * @param quotaPerS new sessions per second over all fronts; null: no limit
      */
     public record TenantSettings(
             @Range(min = 0, max = 1) double share,
@@ -98,27 +98,27 @@
     /**
      * A kind of box.
      *
-     * @param places streams that it runs at most
+     * @param places maximum number of streams of a box
      */
     public record KindSettings(@Range(min = 1, max = 1e6) double places) {}
 
     /**
      * The ladder of rates.
      *
-     * @param kb rate of each rung, kB a second
-     * @param worth what each rung earns
+     * @param kb rate of each rung, kB per second, ascending
+     * @param worth worth of each rung per second
      */
     public record Ladder(
             @Range(min = 1, max = 64) List<Double> kb,
             @Range(min = 1, max = 64) List<Double> worth) {
-        /** Checks that both fit. */
+        /** Checks that the lists have the same length and the rates rise. */
         public Ladder {
             if (kb.size() != worth.size()) {
                 throw new IllegalArgumentException("kb and worth must have the same length");
             }
             for (int i = 0; i < kb.size(); i++) {
                 if (!(kb.get(i) > (i == 0 ? 0 : kb.get(i - 1)))) {
-                    throw new IllegalArgumentException("kb must rise");
+                    throw new IllegalArgumentException("kb must be positive and increase with each rung");
                 }
             }
         }
@@ -128,10 +128,10 @@
      * The fleet as a whole.
      *
      * @param cells number of cells
-     * @param racks number of racks; a box's rack is its cell mod this
-     * @param linksKb all links together, kB a second
-     * @param weightKb link of a box for each unit of its weight
-     * @param uplinkKb mean uplink of a rack
+     * @param racks number of racks; the rack of a box is its cell modulo this number
+     * @param linksKb capacity of all links together, kB per second
+     * @param weightKb link capacity of a box per unit of its weight, kB per second
+     * @param uplinkKb mean uplink capacity of a rack, kB per second
      */
     public record Fleet(
             @Range(min = 1, max = 100_000) int cells,
@@ -141,12 +141,12 @@
             @Range(min = 1) double uplinkKb) {}
 
     /**
-     * What boxes tell.
+     * The reports of boxes.
      *
-     * @param lateMs how late notes are
-     * @param tellMs time between two notes of use; 0: none
-     * @param stall points of worth lost for each point of the rate that is missing
-     * @param changeCostMs what a change of rung costs, as time of the session's worth
+     * @param lateMs delay of notes, ms
+     * @param tellMs time between two notes of link use, ms; 0: no such notes
+     * @param stall percentage points of worth lost per percentage point of the rate that is not delivered
+     * @param changeCostMs cost of a change of rung: the worth of the session in this time, ms
      */
     public record Notes(
             @Range(min = 0, max = 600_000) double lateMs,
@@ -155,20 +155,20 @@
             @Range(min = 0, max = 600_000) double changeCostMs) {}
 
     /**
-     * Figures of the rules.
+     * Parameters of the placement rules.
      *
-     * @param maxAttempts attempts for one request
-     * @param maxRetryAfterMs longest stay-away that viewers observe
+     * @param maxAttempts maximum number of set-up attempts for one request
+     * @param maxRetryAfterMs longest retry delay that viewers observe, ms
      * @param crossZonePrice price of a session that crosses zones
-     * @param overShareWorth worth of a session beyond its tenant's share
-     * @param drainGraceMs nothing new so long after a drain was heard
-     * @param coldMs a box is warm after this time
-     * @param coldShare it starts at this share
-     * @param fallMultiple sent more than this multiple of its pace
-     * @param fallMs for this long, a cold box falls over
-     * @param spareAttempts further attempts however low the traffic; null: free
-     * @param attemptShare further attempts for each request
-     * @param attemptWindowMs both counted over this
+     * @param overShareWorth factor of the worth of a session beyond its tenant's share
+     * @param drainGraceMs new sessions must not start on a box later than this after its drain was received, ms
+     * @param coldMs time after its start until a box is warm, ms
+     * @param coldShare share of its capacity that a box has at its start
+     * @param fallMultiple a cold box fails when it is sent more than this multiple of its current capacity
+     * @param fallMs time of such an overload after which the box fails, ms
+     * @param spareAttempts retries allowed regardless of the traffic; null: retries are not limited
+     * @param attemptShare further retries allowed per request
+     * @param attemptWindowMs sliding window in which requests and retries are counted, ms
      */
     public record Rules(
             @Range(min = 1, max = 20) int maxAttempts,
@@ -185,22 +185,22 @@
             @Default("null") Double attemptWindowMs) {}
 
     /**
-     * Bounds of this process.
+     * Limits of this process.
      *
-     * @param answerMarginMs answers are given so long before the viewer's patience ends
-     * @param connections viewers' connections
-     * @param boxConnections connections to one box
-     * @param boxWaiting segments that wait for a connection to one box
-     * @param connectMs time for a connection to a box
-     * @param idleMs a session whose player says nothing for so long is over
-     * @param requestMs a request's head and body must come within
-     * @param moveReturnMs a moved session waits at most so long for its old box's word
-     * @param settleMs a box is given so long to say whether a paid set-up whose answer was lost ran
-     * @param sameMs a token that comes again so soon after its refusal is the same request
-     * @param tokens token ids remembered
-     * @param tokenThreads threads that verify tokens
-     * @param tokenWaiting tokens that may wait for them
-     * @param boxes boxes held
+     * @param answerMarginMs answers are sent this long before the viewer's patience ends, ms
+     * @param connections maximum number of viewer connections
+     * @param boxConnections maximum number of connections to one box
+     * @param boxWaiting maximum number of segment requests that wait for a connection to one box
+     * @param connectMs timeout for connecting to a box, ms
+     * @param idleMs inactivity of the player after which its session is ended, ms
+     * @param requestMs timeout for receiving the head and body of a request, ms
+     * @param moveReturnMs maximum time that a moved session waits for its old box to acknowledge the release, ms
+     * @param settleMs timeout for querying a box whether a paid set-up whose answer was lost ran, ms
+     * @param sameMs a token received again within this time after its refusal counts as the same request, ms
+     * @param tokens maximum number of token ids kept
+     * @param tokenThreads number of threads that verify tokens
+     * @param tokenWaiting maximum number of tokens that wait for verification
+     * @param boxes maximum number of boxes in the box list
      */
     public record Limits(
             @Default("150") @Range(min = 1, max = 60_000) double answerMarginMs,
@@ -229,38 +229,46 @@
             int boxes) {}
 
     /**
-     * Players in pages.
+     * Settings for players in web pages.
      *
-     * @param origins origins that may use this front (Fetch standard, CORS protocol); "*" for all
+     * @param origins origins that may use this front (Fetch standard, CORS protocol); "*" allows all
      */
     public record Web(@Default("[]") @Range(max = 1000) List<String> origins) {}
 
-    /** Checks what fields must be to each other. */
+    /** Checks constraints between fields. */
     public FrontSettings {
         if (me >= fronts) {
             throw new IllegalArgumentException("me must be below fronts");
         }
-        classes.forEach((name, c) -> {
-            if (c.floor() >= ladder.kb().size()) {
+        classes.forEach((name, classSettings) -> {
+            if (classSettings.floor() >= ladder.kb().size()) {
                 throw new IllegalArgumentException("classes." + name + ".floor is above the ladder");
             }
-            if (c.patienceMs() <= limits.answerMarginMs()) {
+            if (classSettings.patienceMs() <= limits.answerMarginMs()) {
                 throw new IllegalArgumentException(
                         "classes." + name + ".patienceMs must be above limits.answerMarginMs");
             }
         });
     }
 
-    /** What the module starts with. */
+    /** Returns the settings of the module. */
     public SessionControl.Settings moduleSettings() {
         List<SessionControl.ServiceClass> types = new ArrayList<>();
         int highest = ladder.kb().size() - 1;
-        classes.forEach((name, c) -> types.add(new SessionControl.ServiceClass(
-                name, c.aimMs(), c.worth(), c.once(), c.floor(), Math.min(c.top(), highest), c.scale(), c.seats())));
+        classes.forEach((name, classSettings) -> types.add(new SessionControl.ServiceClass(
+                name,
+                classSettings.aimMs(),
+                classSettings.worth(),
+                classSettings.once(),
+                classSettings.floor(),
+                Math.min(classSettings.top(), highest),
+                classSettings.scale(),
+                classSettings.seats())));
         List<SessionControl.Tenant> tenantList = new ArrayList<>();
-        tenants.forEach((name, t) -> tenantList.add(new SessionControl.Tenant(name, t.share(), orNaN(t.quotaPerS()))));
+        tenants.forEach((name, tenant) ->
+                tenantList.add(new SessionControl.Tenant(name, tenant.share(), orNaN(tenant.quotaPerS()))));
         List<SessionControl.Kind> kindList = new ArrayList<>();
-        kinds.forEach((name, k) -> kindList.add(new SessionControl.Kind(name, k.places())));
+        kinds.forEach((name, kind) -> kindList.add(new SessionControl.Kind(name, kind.places())));
         return new SessionControl.Settings(
                 me,
                 fronts,
@@ -293,13 +301,16 @@
                         orNaN(rules.attemptWindowMs())));
     }
 
-    /** What the core starts with. */
+    /** Returns the settings of the session core. */
     public CoreSettings coreSettings() {
         Map<String, SessionType> types = new HashMap<>();
-        classes.forEach((name, c) -> types.put(
+        classes.forEach((name, classSettings) -> types.put(
                 name,
                 new SessionType(
-                        c.once(), c.floor(), c.scale(), new AnswerDeadline(c.patienceMs(), limits.answerMarginMs()))));
+                        classSettings.once(),
+                        classSettings.floor(),
+                        classSettings.scale(),
+                        new AnswerDeadline(classSettings.patienceMs(), limits.answerMarginMs()))));
         return new CoreSettings(
                 moduleSettings(),
                 seed,
--- a/front/src/main/java/spanrill/front/SessionIdGenerator.java
+++ b/front/src/main/java/spanrill/front/SessionIdGenerator.java
@@ -4,15 +4,18 @@
 import java.util.Base64;
 import java.util.function.Supplier;
 
-/** Public names of sessions: 128 random bits, so that knowing one is leave to use it. */
+/**
+ * Generates session ids of 128 random bits. Whoever knows the id of a session may use the session, so ids must
+ * not be guessable.
+ */
 final class SessionIdGenerator implements Supplier<String> {
-    private static final int BYTES = 16;
+    private static final int ID_BYTES = 16;
     private final SecureRandom random = new SecureRandom();
 
     @Override
     public String get() {
-        byte[] name = new byte[BYTES];
-        random.nextBytes(name);
-        return Base64.getUrlEncoder().withoutPadding().encodeToString(name);
+        byte[] id = new byte[ID_BYTES];
+        random.nextBytes(id);
+        return Base64.getUrlEncoder().withoutPadding().encodeToString(id);
     }
 }
--- a/front/src/main/java/spanrill/front/box/BoxConnectionPool.java
+++ b/front/src/main/java/spanrill/front/box/BoxConnectionPool.java
@@ -10,30 +10,30 @@
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.HttpLimits;
 
-/** The connections of this front to one box. Which one an exchange takes is decided by {@link PoolPolicy}. */
+/** The connections of this front to one box. {@link PoolPolicy} decides which one an exchange uses. */
 final class BoxConnectionPool {
-    /** Waits for a connection. */
+    /** A request for a connection. */
     interface ConnectionRequest {
-        /** Here it is; false when it is not wanted any more. */
+        /** Called with a connection. Returns false when it is no longer needed. */
         boolean onConnection(HttpClientConnection connection);
 
-        /** None could be had, and why. */
-        void onUnavailable(OutcomeTable.Event why);
+        /** Called when no connection could be acquired, with the reason. */
+        void onUnavailable(OutcomeTable.Event reason);
     }
 
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final PoolPolicy policy;
-    private final int connectMs;
+    private final int connectTimeoutMs;
     private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<BoxConnectionPool.ConnectionRequest> queue = new ArrayDeque<>();
+    private final ArrayDeque<ConnectionRequest> waiting = new ArrayDeque<>();
     private int open;
 
-    BoxConnectionPool(EventLoop loop, InetSocketAddress address, PoolPolicy policy, int connectMs) {
+    BoxConnectionPool(EventLoop loop, InetSocketAddress address, PoolPolicy policy, int connectTimeoutMs) {
         this.loop = loop;
         this.address = address;
         this.policy = policy;
-        this.connectMs = connectMs;
+        this.connectTimeoutMs = connectTimeoutMs;
     }
 
     InetSocketAddress address() {
@@ -41,57 +41,57 @@
     }
 
     /**
-     * Takes a connection.
+     * Acquires a connection.
      *
-     * @param control true for set-up, rung and release
-     * @param fresh true when only a connection of its own will do: one refused then proves that nothing ran
+     * @param control true for set-ups, rung changes and releases
+     * @param requireNew true to open a connection instead of reusing one: a refused connect proves that nothing ran
      */
-    void acquire(boolean control, boolean fresh, BoxConnectionPool.ConnectionRequest taker) {
+    void acquire(boolean control, boolean requireNew, ConnectionRequest request) {
         idle.removeIf(connection -> !connection.isAvailable());
-        switch (policy.choose(control, fresh ? 0 : idle.size(), open, queue.size())) {
+        switch (policy.choose(control, requireNew ? 0 : idle.size(), open, waiting.size())) {
             case REUSE -> {
                 HttpClientConnection connection = idle.pollLast();
-                if (!taker.onConnection(connection)) {
+                if (!request.onConnection(connection)) {
                     idle.addLast(connection);
                 }
             }
-            case OPEN -> open(taker);
-            case WAIT -> queue.add(taker);
-            default -> taker.onUnavailable(OutcomeTable.Event.POOL_EXHAUSTED);
+            case OPEN -> open(request);
+            case WAIT -> waiting.add(request);
+            default -> request.onUnavailable(OutcomeTable.Event.POOL_EXHAUSTED);
         }
     }
 
-    private void open(BoxConnectionPool.ConnectionRequest taker) {
+    private void open(ConnectionRequest request) {
         open++;
         HttpClientConnection.open(
                 loop,
                 address,
-                connectMs,
+                connectTimeoutMs,
                 HttpLimits.CLIENT,
                 connection -> {
                     connection.onClosed(this::handleClosed);
-                    if (!taker.onConnection(connection)) {
+                    if (!request.onConnection(connection)) {
                         release(connection);
                     }
                 },
                 cause -> {
                     open--;
-                    // Netty's connect time-out is a ConnectException too; it tells itself by its message.
+                    // Netty reports a connect timeout as a ConnectException too; only the message differs.
                     boolean refused = cause instanceof ConnectException
                             && !String.valueOf(cause.getMessage()).contains("timed out");
-                    taker.onUnavailable(
+                    request.onUnavailable(
                             refused ? OutcomeTable.Event.CONNECT_REFUSED : OutcomeTable.Event.CONNECT_TIMED_OUT);
                     openForNextWaiter();
                 });
     }
 
-    /** An exchange is done with its connection. */
+    /** Returns the connection of a finished exchange: the next waiting request gets it, or it becomes idle. */
     void release(HttpClientConnection connection) {
         if (!connection.isAvailable()) {
             return;
         }
-        for (BoxConnectionPool.ConnectionRequest waiting = queue.poll(); waiting != null; waiting = queue.poll()) {
-            if (waiting.onConnection(connection)) {
+        for (ConnectionRequest next = waiting.poll(); next != null; next = waiting.poll()) {
+            if (next.onConnection(connection)) {
                 return;
             }
         }
@@ -105,15 +105,15 @@
     }
 
     private void openForNextWaiter() {
-        if (!queue.isEmpty() && policy.choose(false, 0, open, 0) == PoolPolicy.Choice.OPEN) {
-            open(queue.poll());
+        if (!waiting.isEmpty() && policy.choose(false, 0, open, 0) == PoolPolicy.Choice.OPEN) {
+            open(waiting.poll());
         }
     }
 
-    /** Ends all that rests, and executor away what waits. */
-    void close(Consumer<BoxConnectionPool.ConnectionRequest> turnAway) {
-        queue.forEach(turnAway);
-        queue.clear();
+    /** Closes the idle connections and passes each waiting request to {@code reject}. */
+    void close(Consumer<ConnectionRequest> reject) {
+        waiting.forEach(reject);
+        waiting.clear();
         idle.forEach(HttpClientConnection::abort);
         idle.clear();
     }
--- a/front/src/main/java/spanrill/front/box/HttpBoxClient.java
+++ b/front/src/main/java/spanrill/front/box/HttpBoxClient.java
@@ -22,35 +22,34 @@
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.ResponseHead;
 
-/** Reaches boxes over HTTP/1.1. */
+/** Client of the boxes over HTTP/1.1. */
 public final class HttpBoxClient implements BoxClient, SegmentSource {
-    /**
-     * A release or rung that isn't answered within this time is given up: the box ends idle sessions
-     * itself.
-     */
-    private static final long CONTROL_MS = 1000;
-    /** Set-ups, rungs and releases have so many of a box's connections to themselves, within its cap. */
-    private static final int KEPT = 32;
+    /** Timeout of releases and rung changes. A lost release is harmless: the box ends idle sessions itself. */
+    private static final long CONTROL_TIMEOUT_MS = 1000;
+    /** Connections to each box that are reserved for control exchanges, at most half of the limit. */
+    private static final int RESERVED_CONNECTIONS = 32;
 
     private static final byte[] NO_BODY = {};
 
     private final FrontSettings settings;
     private final EventLoop loop;
     private final SessionCore core;
-    private final Function<String, Box> book;
+    private final Function<String, Box> boxLookup;
     private final PoolPolicy policy;
     private final Map<String, BoxConnectionPool> pools = new HashMap<>();
     private final Map<String, NotesStream> notes = new HashMap<>();
 
-    /** Boxes are looked up in {@code book} by name. */
-    public HttpBoxClient(FrontSettings settings, EventLoop loop, SessionCore core, Function<String, Box> book) {
+    /** Creates a client that finds boxes by id through {@code boxLookup}. */
+    public HttpBoxClient(FrontSettings settings, EventLoop loop, SessionCore core, Function<String, Box> boxLookup) {
         this.settings = settings;
         this.loop = loop;
         this.core = core;
-        this.book = book;
+        this.boxLookup = boxLookup;
         FrontSettings.Limits limits = settings.limits();
         policy = new PoolPolicy(
-                limits.boxConnections(), Math.min(KEPT, limits.boxConnections() / 2), limits.boxWaiting());
+                limits.boxConnections(),
+                Math.min(RESERVED_CONNECTIONS, limits.boxConnections() / 2),
+                limits.boxWaiting());
     }
 
     Headers frontHeaders() {
@@ -58,7 +57,7 @@
     }
 
     private BoxConnectionPool pool(String id) {
-        Box box = book.apply(id);
+        Box box = boxLookup.apply(id);
         if (box == null) {
             return null;
         }
@@ -67,7 +66,7 @@
                 || pool.address().getPort() != box.port()
                 || !pool.address().getHostString().equals(box.host())) {
             if (pool != null) {
-                pool.close(taker -> taker.onUnavailable(OutcomeTable.Event.CLOSED));
+                pool.close(connectionRequest -> connectionRequest.onUnavailable(OutcomeTable.Event.CLOSED));
             }
             pool = new BoxConnectionPool(
                     loop,
@@ -80,21 +79,21 @@
     }
 
     @Override
-    public Attempt setUp(BoxClient.SetUpRequest order, AttemptListener listener) {
-        BoxConnectionPool pool = pool(order.box());
+    public Attempt setUp(BoxClient.SetUpRequest request, AttemptListener listener) {
+        BoxConnectionPool pool = pool(request.box());
         if (pool == null) {
             listener.onEnded(Outcome.CONNECT_FAILED, null);
-            return why -> Outcome.CONNECT_FAILED;
+            return reason -> Outcome.CONNECT_FAILED;
         }
-        if (settings.notes().tellMs() > 0 && !notes.containsKey(order.box())) {
-            NotesStream stream = new NotesStream(this, core, loop, order.box(), pool.address());
-            notes.put(order.box(), stream);
+        if (settings.notes().tellMs() > 0 && !notes.containsKey(request.box())) {
+            NotesStream stream = new NotesStream(this, core, loop, request.box(), pool.address());
+            notes.put(request.box(), stream);
             stream.open();
         }
-        SetUpAttempt attempt = new SetUpAttempt(this, order, pool, listener);
-        // What spends something goes on a connection of its own: a refused connect then proves that it never
-        // ran, where a connection that the box closed meanwhile proves nothing.
-        pool.acquire(true, order.spends(), attempt);
+        SetUpAttempt attempt = new SetUpAttempt(this, request, pool, listener);
+        // A set-up that spends uses a new connection: a refused connect proves that it never ran, whereas a reused
+        // connection that the box closes proves nothing.
+        pool.acquire(true, request.spends(), attempt);
         return attempt;
     }
 
@@ -102,7 +101,7 @@
         notes.remove(box, stream);
     }
 
-    /** Tells a box to end an attempt that was given up; nobody waits for the answer. */
+    /** Sends the cancellation of an abandoned attempt to its box and ignores the answer. */
     void cancelAttempt(String box, String key) {
         sendControl(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, load -> {});
     }
@@ -111,22 +110,27 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** Calls an attempt off and tells whether that proves that it never ran; false after a time. */
+    /**
+     * Cancels an attempt and reports whether the answer proves that it never ran; false after {@code settleMs}.
+     *
+     * @param sentAt time at which the set-up was sent, from {@link #nowMs}
+     */
     void cancelAndQueryRan(String box, String key, double sentAt, Consumer<Boolean> done) {
-        boolean[] told = {false};
-        Consumer<Boolean> once = neverRan -> {
-            if (!told[0]) {
-                told[0] = true;
+        boolean[] reported = {false};
+        Consumer<Boolean> reportOnce = neverRan -> {
+            if (!reported[0]) {
+                reported[0] = true;
                 done.accept(neverRan);
             }
         };
-        loop.schedule(() -> once.accept(false), (long) settings.limits().settleMs(), TimeUnit.MILLISECONDS);
+        loop.schedule(() -> reportOnce.accept(false), (long) settings.limits().settleMs(), TimeUnit.MILLISECONDS);
         exchange(box, "DELETE", BoxLink.ATTEMPT_PATH_PREFIX + key, (load, head) -> {
             String ran = head == null ? null : head.headers().get(BoxLink.RAN);
-            double upMs = head == null || head.headers().get(BoxLink.UPTIME_MS) == null
+            double uptimeMs = head == null || head.headers().get(BoxLink.UPTIME_MS) == null
                     ? Double.NaN
                     : BoxLink.parseNonNegative(head.headers().get(BoxLink.UPTIME_MS));
-            once.accept(CancellationProof.provesNeverRan(ran == null ? null : ran.equals("1"), upMs, nowMs() - sentAt));
+            reportOnce.accept(
+                    CancellationProof.provesNeverRan(ran == null ? null : ran.equals("1"), uptimeMs, nowMs() - sentAt));
         });
     }
 
@@ -151,21 +155,20 @@
             return;
         }
         ControlCall call = new ControlCall(pool, method, target, done);
-        loop.schedule(call::late, CONTROL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(call::abortOnTimeout, CONTROL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         pool.acquire(true, false, call);
     }
 
-    /** A small exchange of which only the head matters. */
-    private final class ControlCall
-            implements spanrill.front.box.BoxConnectionPool.ConnectionRequest, HttpClientConnection.Listener {
+    /** A control exchange, of which only the response head is used. */
+    private final class ControlCall implements BoxConnectionPool.ConnectionRequest, HttpClientConnection.Listener {
         private final BoxConnectionPool pool;
         private final String method;
         private final String target;
         private final BiConsumer<Load, ResponseHead> done;
         private HttpClientConnection connection;
-        private ResponseHead seen;
-        private boolean answered;
-        private boolean over;
+        private ResponseHead receivedHead;
+        private boolean complete;
+        private boolean finished;
 
         ControlCall(BoxConnectionPool pool, String method, String target, BiConsumer<Load, ResponseHead> done) {
             this.pool = pool;
@@ -175,11 +178,11 @@
         }
 
         @Override
-        public boolean onConnection(HttpClientConnection given) {
-            if (over) {
+        public boolean onConnection(HttpClientConnection acquired) {
+            if (finished) {
                 return false;
             }
-            connection = given;
+            connection = acquired;
             if (!connection.send(method, target, frontHeaders(), NO_BODY, this)) {
                 finish();
             }
@@ -187,40 +190,40 @@
         }
 
         @Override
-        public void onUnavailable(OutcomeTable.Event why) {
+        public void onUnavailable(OutcomeTable.Event reason) {
             finish();
         }
 
         @Override
         public void onHead(ResponseHead head) {
-            seen = head;
+            receivedHead = head;
         }
 
         @Override
         public void onEnd() {
             pool.release(connection);
-            answered = true;
+            complete = true;
             finish();
         }
 
         @Override
-        public void onFailure(HttpClientConnection.Failure loss, String reason) {
+        public void onFailure(HttpClientConnection.Failure failure, String reason) {
             finish();
         }
 
-        void late() {
-            if (!over && connection != null) {
+        void abortOnTimeout() {
+            if (!finished && connection != null) {
                 connection.abort();
             }
             finish();
         }
 
         private void finish() {
-            if (!over) {
-                over = true;
-                ResponseHead whole = answered ? seen : null;
+            if (!finished) {
+                finished = true;
+                ResponseHead head = complete ? receivedHead : null;
                 done.accept(
-                        whole == null ? null : BoxLink.parseLoad(whole.headers().get(BoxLink.LOAD)), whole);
+                        head == null ? null : BoxLink.parseLoad(head.headers().get(BoxLink.LOAD)), head);
             }
         }
     }
@@ -229,10 +232,10 @@
     public SegmentSource.SegmentTransfer fetch(String box, String key, String path, String range, SegmentSink sink) {
         BoxConnectionPool pool = pool(box);
         if (pool == null) {
-            sink.onLost(0, "the box is not known any more");
+            sink.onLost(0, "the box is no longer in the box list");
             return new SegmentSource.SegmentTransfer() {
                 @Override
-                public void setReading(boolean on) {}
+                public void setReading(boolean enabled) {}
 
                 @Override
                 public void cancel() {}
@@ -243,9 +246,11 @@
         return fetch;
     }
 
-    /** Ends all streams and connections that rest. */
+    /** Closes the note streams and the idle connections. */
     public void close() {
         notes.values().forEach(NotesStream::close);
-        pools.values().forEach(pool -> pool.close(taker -> taker.onUnavailable(OutcomeTable.Event.CLOSED)));
+        pools.values()
+                .forEach(pool ->
+                        pool.close(connectionRequest -> connectionRequest.onUnavailable(OutcomeTable.Event.CLOSED)));
     }
 }
--- a/front/src/main/java/spanrill/front/box/NotesStream.java
+++ b/front/src/main/java/spanrill/front/box/NotesStream.java
@@ -18,49 +18,50 @@
 import spanrill.wire.http.ResponseHead;
 
 /**
- * The notes of one box. It also shows whether the box's process lives; what a broken or refused stream says
- * of that, and when it is opened anew, is decided by {@link BoxProcessMonitor}.
+ * Reads the notes of one box. The state of the stream also shows whether the process of the box runs:
+ * {@link BoxProcessMonitor} decides what a broken or refused stream means and when the stream is reopened.
  */
 final class NotesStream implements HttpClientConnection.Listener {
-    private static final int MOST_LINE = 256;
-    private static final int CONNECT_MS = 1000;
-    private static final double LEAST_MS = 50;
-    private static final double MOST_MS = 2000;
+    private static final int MAX_LINE_BYTES = 256;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final double MIN_REOPEN_DELAY_MS = 50;
+    private static final double MAX_REOPEN_DELAY_MS = 2000;
 
-    private final HttpBoxClient side;
+    private final HttpBoxClient boxClient;
     private final SessionCore core;
     private final EventLoop loop;
     private final String box;
     private final InetSocketAddress address;
-    private final BoxProcessMonitor watch;
+    private final BoxProcessMonitor monitor;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(64);
     private HttpClientConnection connection;
     private boolean closed;
 
-    NotesStream(HttpBoxClient side, SessionCore core, EventLoop loop, String box, InetSocketAddress address) {
-        this.side = side;
+    NotesStream(HttpBoxClient boxClient, SessionCore core, EventLoop loop, String box, InetSocketAddress address) {
+        this.boxClient = boxClient;
         this.core = core;
         this.loop = loop;
         this.box = box;
         this.address = address;
-        watch = new BoxProcessMonitor(LEAST_MS, MOST_MS, box.hashCode());
+        monitor = new BoxProcessMonitor(MIN_REOPEN_DELAY_MS, MAX_REOPEN_DELAY_MS, box.hashCode());
     }
 
     void open() {
         HttpClientConnection.open(
                 loop,
                 address,
-                CONNECT_MS,
+                CONNECT_TIMEOUT_MS,
                 HttpLimits.CLIENT,
                 opened -> {
                     connection = opened;
-                    if (closed || !opened.send("GET", BoxLink.NOTES_PATH, side.frontHeaders(), new byte[0], this)) {
+                    if (closed
+                            || !opened.send("GET", BoxLink.NOTES_PATH, boxClient.frontHeaders(), new byte[0], this)) {
                         opened.abort();
                     }
                 },
                 cause -> {
                     core.handleBoxLost(box, SessionEnd.BOX_GONE);
-                    applyReaction(watch.onUnreachable(core.hasSessionsAt(box)));
+                    applyReaction(monitor.onUnreachable(core.hasSessionsAt(box)));
                 });
     }
 
@@ -71,13 +72,13 @@
         }
     }
 
-    private void applyReaction(BoxProcessMonitor.Reaction next) {
+    private void applyReaction(BoxProcessMonitor.Reaction reaction) {
         if (closed) {
             return;
         }
-        if (next.reopenDelayMs() < 0) {
-            side.removeNotesStream(box, this);
-        } else if (next.reopenDelayMs() == 0) {
+        if (reaction.reopenDelayMs() < 0) {
+            boxClient.removeNotesStream(box, this);
+        } else if (reaction.reopenDelayMs() == 0) {
             open();
         } else {
             loop.schedule(
@@ -86,7 +87,7 @@
                             open();
                         }
                     },
-                    (long) next.reopenDelayMs(),
+                    (long) reaction.reopenDelayMs(),
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -100,14 +101,14 @@
 
     @Override
     public void onData(ByteBuf part) {
-        watch.onData();
+        monitor.onData();
         while (part.isReadable()) {
             byte next = part.readByte();
             if (next == '\n') {
                 handleLine(line.toString(StandardCharsets.US_ASCII));
                 line.reset();
-            } else if (line.size() >= MOST_LINE) {
-                EventLog.warn("notes.malformed", "box", box, "reason", "a line is too long");
+            } else if (line.size() >= MAX_LINE_BYTES) {
+                EventLog.warn("notes.malformed", "box", box, "reason", "line longer than " + MAX_LINE_BYTES + " bytes");
                 connection.abort();
                 onFailure(HttpClientConnection.Failure.MALFORMED, "line too long");
                 return;
@@ -120,14 +121,14 @@
     private void handleLine(String text) {
         Note note = Note.parse(text);
         if (note == null) {
-            EventLog.warn("notes.malformed", "box", box, "reason", "a line is no note");
+            EventLog.warn("notes.malformed", "box", box, "reason", "unrecognized line");
             return;
         }
         switch (note.kind()) {
             case HELLO -> {
-                SessionEnd lost = watch.onHello(note.value());
-                if (lost != null) {
-                    core.handleBoxLost(box, lost);
+                SessionEnd lostReason = monitor.onHello(note.value());
+                if (lostReason != null) {
+                    core.handleBoxLost(box, lostReason);
                 }
             }
             case OVER -> core.handleAttemptLost(note.attempt(), SessionEnd.BOX_ENDED);
@@ -143,8 +144,8 @@
     }
 
     @Override
-    public void onFailure(HttpClientConnection.Failure loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure failure, String reason) {
         line.reset();
-        applyReaction(watch.onStreamBroken(core.hasSessionsAt(box)));
+        applyReaction(monitor.onStreamBroken(core.hasSessionsAt(box)));
     }
 }
--- a/front/src/main/java/spanrill/front/box/SegmentFetch.java
+++ b/front/src/main/java/spanrill/front/box/SegmentFetch.java
@@ -7,30 +7,28 @@
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.ResponseHead;
 
-/** One segment on its way from a box; held back, never kept. */
+/** Transfer of one segment from a box. The body is passed on as it arrives and is not buffered. */
 final class SegmentFetch
-        implements spanrill.front.box.SegmentSource.SegmentTransfer,
-                spanrill.front.box.BoxConnectionPool.ConnectionRequest,
-                HttpClientConnection.Listener {
+        implements SegmentSource.SegmentTransfer, BoxConnectionPool.ConnectionRequest, HttpClientConnection.Listener {
     private static final byte[] NO_BODY = {};
 
-    private final HttpBoxClient side;
+    private final HttpBoxClient boxClient;
     private final BoxConnectionPool pool;
     private final String target;
     private final String range;
     private final SegmentSource.SegmentSink sink;
     private HttpClientConnection connection;
     private int refusedStatus;
-    private boolean over;
+    private boolean finished;
 
     SegmentFetch(
-            HttpBoxClient side,
+            HttpBoxClient boxClient,
             BoxConnectionPool pool,
             String key,
             String path,
             String range,
             SegmentSource.SegmentSink sink) {
-        this.side = side;
+        this.boxClient = boxClient;
         this.pool = pool;
         this.target = BoxLink.ATTEMPT_PATH_PREFIX + key + "/" + path;
         this.range = range;
@@ -38,24 +36,24 @@
     }
 
     @Override
-    public boolean onConnection(HttpClientConnection given) {
-        if (over) {
+    public boolean onConnection(HttpClientConnection acquired) {
+        if (finished) {
             return false;
         }
-        connection = given;
-        Headers headers = side.frontHeaders();
+        connection = acquired;
+        Headers headers = boxClient.frontHeaders();
         if (range != null) {
             headers.add("range", range);
         }
         if (!connection.send("GET", target, headers, NO_BODY, this)) {
-            onFailure(0, "the connection ended");
+            onFailure(0, "the connection to the box is closed");
         }
         return true;
     }
 
     @Override
-    public void onUnavailable(OutcomeTable.Event why) {
-        onFailure(0, why.toString());
+    public void onUnavailable(OutcomeTable.Event reason) {
+        onFailure(0, reason.toString());
     }
 
     @Override
@@ -69,7 +67,7 @@
 
     @Override
     public void onData(ByteBuf part) {
-        if (!over && refusedStatus == 0) {
+        if (!finished && refusedStatus == 0) {
             sink.onData(part);
         }
     }
@@ -79,35 +77,35 @@
         pool.release(connection);
         if (refusedStatus != 0) {
             onFailure(refusedStatus, "the box answered " + refusedStatus);
-        } else if (!over) {
-            over = true;
+        } else if (!finished) {
+            finished = true;
             sink.onEnd();
         }
     }
 
     @Override
-    public void onFailure(HttpClientConnection.Failure loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure failure, String reason) {
         onFailure(0, reason);
     }
 
     private void onFailure(int status, String reason) {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             sink.onLost(status, reason);
         }
     }
 
     @Override
-    public void setReading(boolean on) {
-        if (connection != null && !over) {
-            connection.setAutoRead(on);
+    public void setReading(boolean enabled) {
+        if (connection != null && !finished) {
+            connection.setAutoRead(enabled);
         }
     }
 
     @Override
     public void cancel() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             if (connection != null) {
                 connection.abort();
             }
--- a/front/src/main/java/spanrill/front/box/SegmentSource.java
+++ b/front/src/main/java/spanrill/front/box/SegmentSource.java
@@ -3,32 +3,39 @@
 import io.netty.buffer.ByteBuf;
 import spanrill.wire.http.ResponseHead;
 
-/** Where a viewer side gets a playing session's media from. All calls and callbacks on the front's loop. */
+/** Fetches the media of playing sessions. All calls and callbacks run on the event loop. */
 public interface SegmentSource {
-    /** Takes a segment as it comes. */
+    /** Receives a segment. */
     interface SegmentSink {
-        /** Its head; the status is a success. */
+        /** Receives the response head; its status is 200 or 206. */
         void onHead(ResponseHead head);
 
-        /** Part of it; lent for the call. */
+        /** Receives a part of the body. The buffer is valid during the call only, unless it is retained. */
         void onData(ByteBuf part);
 
-        /** It is complete. */
+        /** Called when the segment is complete. */
         void onEnd();
 
-        /** It was lost, or never began. */
+        /** Called when the transfer failed; {@code status} is the status of the box, 0 when there was no answer. */
         void onLost(int status, String reason);
     }
 
-    /** A segment under way. */
+    /** A transfer in progress. */
     interface SegmentTransfer {
-        /** Reads on or holds back. */
-        void setReading(boolean on);
+        /** Resumes or pauses reading from the box. */
+        void setReading(boolean enabled);
 
-        /** Gives it up; its sink hears no more. */
+        /** Cancels the transfer; the sink is not called again. */
         void cancel();
     }
 
-    /** Fetches a segment of a session: {@code path} is what follows the attempt's prefix. */
-    SegmentSource.SegmentTransfer fetch(String box, String key, String path, String range, SegmentSink sink);
+    /**
+     * Starts the transfer of a segment.
+     *
+     * @param box id of the box
+     * @param key key of the session's attempt
+     * @param path path of the segment below the attempt's path
+     * @param range value of the Range header field, or null
+     */
+    SegmentTransfer fetch(String box, String key, String path, String range, SegmentSink sink);
 }
--- a/front/src/main/java/spanrill/front/box/SetUpAttempt.java
+++ b/front/src/main/java/spanrill/front/box/SetUpAttempt.java
@@ -13,15 +13,13 @@
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.ResponseHead;
 
-/** One set-up on the wire: follows how far it came, and reads its end by {@link OutcomeTable}. */
+/** One set-up request to a box. Tracks its stage, from which {@link OutcomeTable} derives the outcome. */
 final class SetUpAttempt
-        implements BoxClient.Attempt,
-                spanrill.front.box.BoxConnectionPool.ConnectionRequest,
-                HttpClientConnection.Listener {
+        implements BoxClient.Attempt, BoxConnectionPool.ConnectionRequest, HttpClientConnection.Listener {
     private static final byte[] NO_BODY = {};
 
-    private final HttpBoxClient side;
-    private final BoxClient.SetUpRequest order;
+    private final HttpBoxClient boxClient;
+    private final BoxClient.SetUpRequest setUp;
     private final BoxConnectionPool pool;
     private final BoxClient.AttemptListener listener;
     private HttpClientConnection connection;
@@ -29,40 +27,41 @@
     private Load load;
     private Event refusal;
     private double sentAt;
-    private boolean settling;
-    private boolean over;
+    private boolean queryingBox;
+    private boolean ended;
 
     SetUpAttempt(
-            HttpBoxClient side,
-            BoxClient.SetUpRequest order,
+            HttpBoxClient boxClient,
+            BoxClient.SetUpRequest setUp,
             BoxConnectionPool pool,
             BoxClient.AttemptListener listener) {
-        this.side = side;
-        this.order = order;
+        this.boxClient = boxClient;
+        this.setUp = setUp;
         this.pool = pool;
         this.listener = listener;
     }
 
     @Override
-    public boolean onConnection(HttpClientConnection given) {
-        if (over) {
+    public boolean onConnection(HttpClientConnection acquired) {
+        if (ended) {
             return false;
         }
-        connection = given;
+        connection = acquired;
         stage = Stage.CONNECTED;
-        Headers headers = side.frontHeaders()
-                .add(BoxLink.ATTEMPT_KEY, order.key())
-                .add(BoxLink.TOKEN, order.request().tokenId())
-                .add(BoxLink.CLASS, order.request().className())
-                .add(BoxLink.TITLE, order.request().title())
-                .add(BoxLink.RUNG, Integer.toString(order.rung()))
-                .add(BoxLink.SPENDS, order.spends() ? "1" : "0");
-        if (order.continues() != null) {
-            headers.add(BoxLink.CONTINUES, order.continues());
+        Headers headers = boxClient
+                .frontHeaders()
+                .add(BoxLink.ATTEMPT_KEY, setUp.key())
+                .add(BoxLink.TOKEN, setUp.request().tokenId())
+                .add(BoxLink.CLASS, setUp.request().className())
+                .add(BoxLink.TITLE, setUp.request().title())
+                .add(BoxLink.RUNG, Integer.toString(setUp.rung()))
+                .add(BoxLink.SPENDS, setUp.spends() ? "1" : "0");
+        if (setUp.continues() != null) {
+            headers.add(BoxLink.CONTINUES, setUp.continues());
         }
         if (connection.send("POST", BoxLink.SETUP_PATH, headers, NO_BODY, this)) {
             stage = Stage.WRITTEN;
-            sentAt = side.nowMs();
+            sentAt = boxClient.nowMs();
         } else {
             finish(Event.CLOSED);
         }
@@ -70,8 +69,8 @@
     }
 
     @Override
-    public void onUnavailable(Event why) {
-        finish(why);
+    public void onUnavailable(Event reason) {
+        finish(reason);
     }
 
     @Override
@@ -85,8 +84,8 @@
 
     @Override
     public void onData(ByteBuf part) {
-        if (refusal == null && !over) {
-            over = true;
+        if (refusal == null && !ended) {
+            ended = true;
             listener.onPlaying();
         }
     }
@@ -94,14 +93,14 @@
     @Override
     public void onEnd() {
         pool.release(connection);
-        // A success without a media byte is no session.
+        // A success response without a media byte does not start a session.
         finish(refusal == null ? Event.ERROR_STATUS : refusal);
     }
 
     @Override
-    public void onFailure(HttpClientConnection.Failure loss, String reason) {
+    public void onFailure(HttpClientConnection.Failure failure, String reason) {
         finish(
-                switch (loss) {
+                switch (failure) {
                     case RESET -> Event.RESET;
                     case CLOSED -> Event.CLOSED;
                     case MALFORMED -> Event.MALFORMED;
@@ -109,22 +108,22 @@
     }
 
     private void finish(Event event) {
-        if (over || settling) {
+        if (ended || queryingBox) {
             return;
         }
         Outcome outcome = OutcomeTable.outcomeOf(stage, event);
-        switch (FailedSetUpAction.choose(stage, outcome, order.spends())) {
+        switch (FailedSetUpAction.choose(stage, outcome, setUp.spends())) {
             case QUERY_BOX -> {
-                settling = true;
-                side.cancelAndQueryRan(
-                        order.box(),
-                        order.key(),
+                queryingBox = true;
+                boxClient.cancelAndQueryRan(
+                        setUp.box(),
+                        setUp.key(),
                         sentAt,
                         neverRan ->
                                 reportEnd(neverRan ? OutcomeTable.outcomeOf(stage, Event.PROVEN_NEVER_RAN) : outcome));
             }
             case CANCEL -> {
-                side.cancelAttempt(order.box(), order.key());
+                boxClient.cancelAttempt(setUp.box(), setUp.key());
                 reportEnd(outcome);
             }
             default -> reportEnd(outcome);
@@ -132,21 +131,21 @@
     }
 
     private void reportEnd(Outcome outcome) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             listener.onEnded(outcome, load);
         }
     }
 
     @Override
-    public Outcome abandon(Event why) {
-        Outcome outcome = OutcomeTable.outcomeOf(stage, why);
-        if (!over) {
-            over = true;
+    public Outcome abandon(Event reason) {
+        Outcome outcome = OutcomeTable.outcomeOf(stage, reason);
+        if (!ended) {
+            ended = true;
             if (connection != null) {
                 connection.abort();
-                if (!settling) {
-                    side.cancelAttempt(order.box(), order.key());
+                if (!queryingBox) {
+                    boxClient.cancelAttempt(setUp.box(), setUp.key());
                 }
             }
         }
--- a/front/src/main/java/spanrill/front/box/package-info.java
+++ b/front/src/main/java/spanrill/front/box/package-info.java
@@ -1,5 +1,2 @@
-/**
- * The box side over HTTP: a pool of connections for each box, set-ups and segments, and the notes
- * streams.
- */
+/** Client of the boxes over HTTP: a connection pool per box, set-ups, segments and note streams. */
 package spanrill.front.box;
--- a/front/src/main/java/spanrill/front/dash/CorsHandler.java
+++ b/front/src/main/java/spanrill/front/dash/CorsHandler.java
@@ -4,11 +4,11 @@
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
-/** Lets players in pages of other origins use this front (Fetch standard, section 3.2, CORS protocol). */
+/** Allows players in pages of other origins to use this front (Fetch standard, section 3.2, CORS protocol). */
 final class CorsHandler {
-    private static final String AGE_S = "600";
-    private static final String EXPOSED = "spanrill-answer, spanrill-rung, retry-after, content-range, etag";
-    private static final String ALLOWED =
+    private static final String MAX_AGE_S = "600";
+    private static final String EXPOSED_HEADERS = "spanrill-answer, spanrill-rung, retry-after, content-range, etag";
+    private static final String ALLOWED_HEADERS =
             "authorization, range, if-none-match, cmcd-request, cmcd-status, " + "cmcd-object, cmcd-session";
 
     private final List<String> origins;
@@ -17,7 +17,7 @@
         this.origins = origins;
     }
 
-    /** Adds what an allowed origin must be told; true when the exchange was a preflight and is answered. */
+    /** Adds the CORS fields for an allowed origin. Returns true when the request was a preflight, now answered. */
     boolean handle(Exchange exchange) {
         String origin = exchange.head().headers().get("origin");
         if (origin == null || !(origins.contains("*") || origins.contains(origin))) {
@@ -29,7 +29,7 @@
                 "vary",
                 "origin",
                 "access-control-expose-headers",
-                EXPOSED));
+                EXPOSED_HEADERS));
         if (!exchange.head().method().equals("OPTIONS")
                 || exchange.head().headers().get("access-control-request-method") == null) {
             return false;
@@ -40,9 +40,9 @@
                         "access-control-allow-methods",
                         "GET, HEAD, DELETE",
                         "access-control-allow-headers",
-                        ALLOWED,
+                        ALLOWED_HEADERS,
                         "access-control-max-age",
-                        AGE_S),
+                        MAX_AGE_S),
                 new byte[0]);
         return true;
     }
--- a/front/src/main/java/spanrill/front/dash/DashRequestRouter.java
+++ b/front/src/main/java/spanrill/front/dash/DashRequestRouter.java
@@ -19,68 +19,72 @@
 import spanrill.wire.http.Headers;
 
 /**
- * Routes of the DASH front:
+ * Routes the HTTP requests of DASH players:
  * <ul>
- * <li>{@code GET /dash/TITLE/manifest.mpd?token=T} (or {@code Authorization: Bearer T}): asks for a session;
- * <li>{@code GET /s/ID/manifest.mpd}: the session's MPD as it is now;
- * <li>{@code GET /s/ID/v/init.mp4}, {@code GET /s/ID/v/RUNG/NUMBER.m4s}: its segments of video;
- * <li>{@code GET /s/ID/a/init.mp4}, {@code GET /s/ID/a/NUMBER.m4s}: those of audio, the same at all rungs;
- * <li>{@code DELETE /s/ID}: the viewer is done (players that just stop are noticed by their silence).
+ * <li>{@code GET /dash/TITLE/manifest.mpd?token=T} (or {@code Authorization: Bearer T}): requests a session;
+ * <li>{@code GET /s/ID/manifest.mpd}: the current MPD of the session;
+ * <li>{@code GET /s/ID/v/init.mp4}, {@code GET /s/ID/v/RUNG/NUMBER.m4s}: video segments of the session;
+ * <li>{@code GET /s/ID/a/init.mp4}, {@code GET /s/ID/a/NUMBER.m4s}: audio segments, the same at all rungs;
+ * <li>{@code DELETE /s/ID}: ends the session (a player that stops without it is detected by its inactivity).
  * </ul>
  */
 public final class DashRequestRouter {
-    /** Field that tells what became of a request: plays, refused, failed or none. */
-    public static final String ANSWER = "spanrill-answer";
-    /** Field that tells, in a word, why a session is over: the words of {@link SessionEnd}. */
-    public static final String OVER = "spanrill-over";
-    /** Field that tells which rung a segment is of. */
-    public static final String RUNG = "spanrill-rung";
+    /** Header field with the outcome of a request: plays, refused, failed or none. */
+    public static final String ANSWER_HEADER = "spanrill-answer";
+    /** Header field with the reason why a session ended: the wire name of a {@link SessionEnd}. */
+    public static final String END_REASON_HEADER = "spanrill-over";
+    /** Header field with the rung of a segment. */
+    public static final String RUNG_HEADER = "spanrill-rung";
 
-    private static final double BUSY_MS = 1000;
-    private static final double SHORTEST_MS = 500;
-    private static final Pattern MANIFEST = Pattern.compile("/dash/([A-Za-z0-9._~-]{1,200})/manifest\\.mpd");
-    private static final Pattern SEGMENT =
+    private static final double SHED_RETRY_AFTER_MS = 1000;
+    private static final double UNKNOWN_CLASS_DEADLINE_MS = 500;
+    private static final Pattern MANIFEST_PATH = Pattern.compile("/dash/([A-Za-z0-9._~-]{1,200})/manifest\\.mpd");
+    private static final Pattern SEGMENT_PATH =
             Pattern.compile("/s/([A-Za-z0-9_-]{22})/(?:v/(?:(init\\.mp4)|(\\d{1,3})/(\\d{1,9}\\.m4s))"
                     + "|(a/(?:init\\.mp4|\\d{1,9}\\.m4s)))");
-    private static final Pattern SESSION = Pattern.compile("/s/([A-Za-z0-9_-]{22})(/manifest\\.mpd)?");
+    private static final Pattern SESSION_PATH = Pattern.compile("/s/([A-Za-z0-9_-]{22})(/manifest\\.mpd)?");
 
     private final FrontSettings settings;
     private final SessionCore core;
-    private final SegmentSource boxes;
-    private final TokenVerifier gate;
-    private final CorsHandler cors;
+    private final SegmentSource segmentSource;
+    private final TokenVerifier tokenVerifier;
+    private final CorsHandler corsHandler;
     private final Clock clock;
-    private final Map<String, SessionType> types;
+    private final Map<String, SessionType> sessionTypes;
 
-    /** A viewer side on a core. */
+    /** Creates a router for the sessions of {@code core}. */
     public DashRequestRouter(
-            FrontSettings settings, SessionCore core, SegmentSource boxes, TokenVerifier gate, Clock clock) {
+            FrontSettings settings,
+            SessionCore core,
+            SegmentSource segmentSource,
+            TokenVerifier tokenVerifier,
+            Clock clock) {
         this.settings = settings;
         this.core = core;
-        this.boxes = boxes;
-        this.gate = gate;
-        cors = new CorsHandler(settings.web().origins());
+        this.segmentSource = segmentSource;
+        this.tokenVerifier = tokenVerifier;
+        corsHandler = new CorsHandler(settings.web().origins());
         this.clock = clock;
-        types = settings.coreSettings().types();
+        sessionTypes = settings.coreSettings().types();
     }
 
-    /** Takes a request. */
+    /** Handles a request and responds to it. */
     public void route(Exchange exchange) {
         try {
             String path = exchange.head().path();
             String method = exchange.head().method();
-            boolean reads = method.equals("GET") || method.equals("HEAD");
-            if (cors.handle(exchange)) {
+            boolean isRead = method.equals("GET") || method.equals("HEAD");
+            if (corsHandler.handle(exchange)) {
                 return;
             }
-            Matcher manifest = MANIFEST.matcher(path);
-            Matcher segment = SEGMENT.matcher(path);
-            Matcher session = SESSION.matcher(path);
+            Matcher manifest = MANIFEST_PATH.matcher(path);
+            Matcher segment = SEGMENT_PATH.matcher(path);
+            Matcher session = SESSION_PATH.matcher(path);
             if (manifest.matches() && method.equals("GET")) {
                 requestManifest(exchange, manifest.group(1));
-            } else if (segment.matches() && reads) {
+            } else if (segment.matches() && isRead) {
                 serveSegment(exchange, segment);
-            } else if (session.matches() && (session.group(2) != null ? reads : method.equals("DELETE"))) {
+            } else if (session.matches() && (session.group(2) != null ? isRead : method.equals("DELETE"))) {
                 serveSession(exchange, session.group(1), session.group(2) != null);
             } else if (manifest.matches() || segment.matches() || session.matches()) {
                 ProblemResponse.respond(exchange, 405, "method", "none", "This method is not served here.", 0);
@@ -95,34 +99,39 @@
 
     private void requestManifest(Exchange exchange, String title) {
         double arrivedAt = clock.now();
-        String text = tokenOf(exchange);
-        // Read before it is verified: only how long it may wait hangs on it.
-        String claimed = TokenKeys.claimedClass(text);
-        FrontSettings.ClassSettings type = settings.classes().get(claimed);
-        double deadline = type == null
-                ? arrivedAt + SHORTEST_MS
-                : types.get(claimed).answerTime().deadline(arrivedAt);
-        Runnable leave = gate.verify(
-                new spanrill.front.token.TokenVerifier.VerificationRequest(
-                        text, title, (long) (arrivedAt / 1000), deadline, type == null ? 0 : type.worth()),
+        String tokenText = tokenOf(exchange);
+        // The class is not verified yet: it decides only the request's deadline and worth in the verifier's queue.
+        String claimedClass = TokenKeys.claimedClass(tokenText);
+        FrontSettings.ClassSettings classSettings = settings.classes().get(claimedClass);
+        double deadline = classSettings == null
+                ? arrivedAt + UNKNOWN_CLASS_DEADLINE_MS
+                : sessionTypes.get(claimedClass).answerTime().deadline(arrivedAt);
+        Runnable cancelVerification = tokenVerifier.verify(
+                new TokenVerifier.VerificationRequest(
+                        tokenText,
+                        title,
+                        (long) (arrivedAt / 1000),
+                        deadline,
+                        classSettings == null ? 0 : classSettings.worth()),
                 exchange.channel().eventLoop(),
-                verdict -> {
-                    if (verdict.isShed()) {
-                        ProblemResponse.respond(exchange, 503, "no-room", "none", "Too many ask; come later.", BUSY_MS);
-                    } else if (verdict.fault() != null) {
+                result -> {
+                    if (result.isShed()) {
+                        ProblemResponse.respond(
+                                exchange, 503, "no-room", "none", "Too many ask; come later.", SHED_RETRY_AFTER_MS);
+                    } else if (result.rejection() != null) {
                         ProblemResponse.respond(
                                 exchange,
-                                verdict.fault().status(),
+                                result.rejection().status(),
                                 "token",
                                 "none",
-                                verdict.fault().getMessage(),
+                                result.rejection().getMessage(),
                                 0);
                     } else if (!exchange.isEnded()) {
-                        requestSession(exchange, verdict.token(), arrivedAt);
+                        requestSession(exchange, result.token(), arrivedAt);
                     }
                 });
         if (!exchange.isStarted()) {
-            exchange.onClosedIfUnset(leave);
+            exchange.onClosedIfUnset(cancelVerification);
         }
     }
 
@@ -165,11 +174,12 @@
             return;
         }
         if (path.group(5) != null) {
-            new SegmentRelay(core, boxes, exchange, session, SegmentRelay.NO_RUNG, path.group(5)).fetchSegment();
+            new SegmentRelay(core, segmentSource, exchange, session, SegmentRelay.NO_RUNG, path.group(5))
+                    .fetchSegment();
         } else if (path.group(2) != null) {
-            new SegmentRelay(core, boxes, exchange, session, SegmentRelay.NO_RUNG, "init.mp4").fetchSegment();
+            new SegmentRelay(core, segmentSource, exchange, session, SegmentRelay.NO_RUNG, "init.mp4").fetchSegment();
         } else {
-            new SegmentRelay(core, boxes, exchange, session, Integer.parseInt(path.group(3)), path.group(4))
+            new SegmentRelay(core, segmentSource, exchange, session, Integer.parseInt(path.group(3)), path.group(4))
                     .fetchSegment();
         }
     }
--- a/front/src/main/java/spanrill/front/dash/ManifestCall.java
+++ b/front/src/main/java/spanrill/front/dash/ManifestCall.java
@@ -13,9 +13,9 @@
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
-/** A manifest asked by token: its answer is the answer to the viewer's request. */
+/** A manifest request with a session token. The outcome of the session request becomes the response. */
 final class ManifestCall implements ViewerCall {
-    private static final double BITS = 8000;
+    private static final double BITS_PER_KB = 8000;
     private static final String VIDEO_CODECS = "avc1.64001f";
     private static final String AUDIO_CODECS = "mp4a.40.2";
 
@@ -56,8 +56,8 @@
     }
 
     @Override
-    public void onUnusable(ViewerCall.UnusableReason why) {
-        switch (why) {
+    public void onUnusable(ViewerCall.UnusableReason reason) {
+        switch (reason) {
             case USED ->
                 ProblemResponse.respond(exchange, 403, "token-used", "none", "The session of this token is over.", 0);
             case NO_ROOM ->
@@ -69,12 +69,12 @@
         }
     }
 
-    /** Answers with the session's MPD: its Representations go from the class's floor to the rung in force. */
+    /** Responds with the session's MPD, with Representations from the floor of the class to the current rung. */
     static void respondWithManifest(FrontSettings settings, Exchange exchange, Session session, String answer) {
         Mpd mpd = buildMpd(settings, session);
         exchange.respond(
                 200,
-                Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER, answer),
+                Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER_HEADER, answer),
                 "application/dash+xml",
                 MpdWriter.write(mpd));
     }
@@ -86,32 +86,33 @@
     private static Mpd buildMpd(FrontSettings settings, Session session) {
         Title title = session.title();
         int floor = session.type().floor();
-        double audio = TrackRates.audioRate(title.audioKb(), rateKbPerS(settings, session, floor));
+        double audioKbPerS = TrackRates.audioRate(title.audioKb(), rateKbPerS(settings, session, floor));
         Timeline timeline = Timeline.repeating(title.durationMs(), title.segmentMs());
-        List<Mpd.Representation> rungs = new ArrayList<>();
+        List<Mpd.Representation> representations = new ArrayList<>();
         for (int rung = floor; rung <= Math.max(floor, session.rung()); rung++) {
-            double video = TrackRates.videoRate(rateKbPerS(settings, session, rung), audio);
-            rungs.add(new Mpd.Representation(Integer.toString(rung), Math.round(video * BITS), VIDEO_CODECS));
+            double videoKbPerS = TrackRates.videoRate(rateKbPerS(settings, session, rung), audioKbPerS);
+            representations.add(new Mpd.Representation(
+                    Integer.toString(rung), Math.round(videoKbPerS * BITS_PER_KB), VIDEO_CODECS));
         }
-        List<Mpd.AdaptationSet> sets = new ArrayList<>();
-        sets.add(new Mpd.AdaptationSet(
-                Mpd.Content.VIDEO, null, timeline, "v/init.mp4", "v/$RepresentationID$/$Number$.m4s", rungs));
-        if (audio > 0) {
-            sets.add(new Mpd.AdaptationSet(
+        List<Mpd.AdaptationSet> adaptationSets = new ArrayList<>();
+        adaptationSets.add(new Mpd.AdaptationSet(
+                Mpd.Content.VIDEO, null, timeline, "v/init.mp4", "v/$RepresentationID$/$Number$.m4s", representations));
+        if (audioKbPerS > 0) {
+            adaptationSets.add(new Mpd.AdaptationSet(
                     Mpd.Content.AUDIO,
                     title.lang(),
                     timeline,
                     "a/init.mp4",
                     "a/$Number$.m4s",
-                    List.of(new Mpd.Representation("audio", Math.round(audio * BITS), AUDIO_CODECS))));
+                    List.of(new Mpd.Representation("audio", Math.round(audioKbPerS * BITS_PER_KB), AUDIO_CODECS))));
         }
-        String base = "/s/" + session.id() + "/";
+        String basePath = "/s/" + session.id() + "/";
         return new Mpd(
                 title.durationMs(),
                 timeline.runs().get(0).lengthMs(),
-                base + "manifest.mpd",
-                base,
+                basePath + "manifest.mpd",
+                basePath,
                 session.rung(),
-                List.copyOf(sets));
+                List.copyOf(adaptationSets));
     }
 }
--- a/front/src/main/java/spanrill/front/dash/ProblemResponse.java
+++ b/front/src/main/java/spanrill/front/dash/ProblemResponse.java
@@ -6,34 +6,35 @@
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
-/** Answers that are no success, as problem documents (RFC 9457). */
+/** Error responses in the form of problem documents (RFC 9457). */
 final class ProblemResponse {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private ProblemResponse() {}
 
     /**
-     * Answers with a problem.
+     * Responds with a problem document.
      *
-     * @param answer what became of the request: refused, failed, or none when it was never taken
-     * @param retryAfterMs after how long to come again; 0 for no word about it
+     * @param type last part of the problem type's URN
+     * @param answer outcome of the session request: refused, failed, or none when there was no such outcome
+     * @param retryAfterMs delay before the client retries, ms; 0: none is sent
      */
     static void respond(Exchange exchange, int status, String type, String answer, String detail, double retryAfterMs) {
         write(
                 exchange,
                 status,
                 type,
-                Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER, answer),
+                Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER_HEADER, answer),
                 detail,
                 retryAfterMs);
     }
 
-    /** Answers a player that asks for more of a session that is over; {@code end} is null when not known. */
+    /** Responds to a request for a session that has ended; {@code end} is the reason, null when unknown. */
     static void respondSessionEnded(
             Exchange exchange, int status, String type, String detail, SessionEnd end, double retryAfterMs) {
-        Headers headers = Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER, "none");
+        Headers headers = Headers.of("cache-control", "no-store", DashRequestRouter.ANSWER_HEADER, "none");
         if (end != null) {
-            headers.add(DashRequestRouter.OVER, end.wireName());
+            headers.add(DashRequestRouter.END_REASON_HEADER, end.wireName());
         }
         write(exchange, status, type, headers, detail, retryAfterMs);
     }
@@ -47,7 +48,7 @@
                 .put("detail", detail);
         if (retryAfterMs > 0) {
             document.put("retryAfterMs", Math.round(retryAfterMs));
-            // RFC 9110 section 10.2.3 knows whole seconds only; the document has the milliseconds.
+            // Retry-After has whole seconds only (RFC 9110 section 10.2.3); the document has the milliseconds.
             headers.add("retry-after", Long.toString((long) Math.ceil(retryAfterMs / 1000)));
         }
         exchange.respond(status, headers, "application/problem+json", document.toString());
--- a/front/src/main/java/spanrill/front/dash/SegmentRelay.java
+++ b/front/src/main/java/spanrill/front/dash/SegmentRelay.java
@@ -15,35 +15,42 @@
 import spanrill.wire.http.ResponseHead;
 
 /**
- * One segment from a box to a viewer. It waits while its session is on the move, asks anew when the box was
- * lost before the first byte went out, and holds the box back while the viewer reads slowly.
+ * Relays one segment from a box to a viewer. The relay waits while the session is moved to another box, retries
+ * when the box fails before the first byte was sent to the viewer, and stops reading from the box while the
+ * viewer reads slowly.
  */
 final class SegmentRelay implements SegmentSource.SegmentSink {
-    /** For what is the same at all rungs: initialization segments and audio. */
+    /** Requested rung of files that are the same at all rungs: initialization segments and audio. */
     static final int NO_RUNG = -1;
 
     private final SessionCore core;
-    private final SegmentSource boxes;
+    private final SegmentSource segmentSource;
     private final Exchange exchange;
     private final Session session;
-    private final int asked;
-    private final String name;
-    private spanrill.front.box.SegmentSource.SegmentTransfer segment;
-    private String key;
+    private final int requestedRung;
+    private final String fileName;
+    private SegmentSource.SegmentTransfer transfer;
+    private String attemptKey;
     private int tries;
     private int servedRung;
-    private String tag;
+    private String etag;
 
-    SegmentRelay(SessionCore core, SegmentSource boxes, Exchange exchange, Session session, int asked, String name) {
+    SegmentRelay(
+            SessionCore core,
+            SegmentSource segmentSource,
+            Exchange exchange,
+            Session session,
+            int requestedRung,
+            String fileName) {
         this.core = core;
-        this.boxes = boxes;
+        this.segmentSource = segmentSource;
         this.exchange = exchange;
         this.session = session;
-        this.asked = asked;
-        this.name = name;
+        this.requestedRung = requestedRung;
+        this.fileName = fileName;
     }
 
-    /** Begins, or goes on after a move. */
+    /** Requests the segment from the session's box, or waits while the session is moved. */
     void fetchSegment() {
         if (exchange.isEnded()) {
             return;
@@ -60,27 +67,27 @@
         }
         exchange.onClosed(this::cancelTransfer);
         exchange.onWritable(() -> setReading(true));
-        int rung = asked == NO_RUNG
+        int rung = requestedRung == NO_RUNG
                 ? session.rung()
                 : RungLimiter.effectiveRung(
-                        asked, session.rung(), session.type().floor());
-        tag = "\"" + session.title().name() + "." + (asked == NO_RUNG ? "" : rung + ".") + name + "\"";
+                        requestedRung, session.rung(), session.type().floor());
+        etag = "\"" + session.title().name() + "." + (requestedRung == NO_RUNG ? "" : rung + ".") + fileName + "\"";
         if (tries == 0) {
             recordPlayerReport();
-            if (exchange.head().headers().containsToken("if-none-match", tag)) {
-                // RFC 9110 section 13.1.2: media never changes, so the name of what would be served decides.
-                exchange.respond(304, Headers.of("etag", tag), new byte[0]);
+            if (exchange.head().headers().containsToken("if-none-match", etag)) {
+                // RFC 9110 section 13.1.2: media never changes, so the entity tag is made from the names.
+                exchange.respond(304, Headers.of("etag", etag), new byte[0]);
                 return;
             }
         }
-        key = session.attemptKey();
+        attemptKey = session.attemptKey();
         tries++;
-        String path = asked == NO_RUNG ? name : rung + "/" + name;
-        segment = boxes.fetch(session.box(), key, path, supportedRange(), this);
+        String path = requestedRung == NO_RUNG ? fileName : rung + "/" + fileName;
+        transfer = segmentSource.fetch(session.box(), attemptKey, path, supportedRange(), this);
         servedRung = rung;
     }
 
-    /** What the player tells of itself is kept with its session. */
+    /** Passes the CMCD report of the player, in the query or in header fields, to the session core. */
     private void recordPlayerReport() {
         String query = exchange.head().queryParameter("CMCD");
         String text = query;
@@ -97,7 +104,7 @@
 
     private String supportedRange() {
         String range = exchange.head().headers().get("range");
-        // RFC 9110 section 14.2: a range that isn't understood is passed over.
+        // RFC 9110 section 14.2: an unsupported range is ignored.
         return spanrill.wire.http.ByteRange.isSupported(range) ? range : null;
     }
 
@@ -118,10 +125,10 @@
                 "video/mp4",
                 "cache-control",
                 "no-store",
-                DashRequestRouter.RUNG,
+                DashRequestRouter.RUNG_HEADER,
                 Integer.toString(servedRung),
                 "etag",
-                tag);
+                etag);
         String range = head.headers().get("content-range");
         if (range != null) {
             headers.add("content-range", range);
@@ -138,30 +145,30 @@
         }
     }
 
-    private void setReading(boolean on) {
-        if (segment != null) {
-            segment.setReading(on);
+    private void setReading(boolean enabled) {
+        if (transfer != null) {
+            transfer.setReading(enabled);
         }
     }
 
     @Override
     public void onEnd() {
-        segment = null;
+        transfer = null;
         core.recordActivity(session);
         exchange.end();
     }
 
     @Override
     public void onLost(int status, String reason) {
-        segment = null;
+        transfer = null;
         if (exchange.isEnded()) {
             return;
         }
-        SegmentRetryPolicy.Decision choice = SegmentRetryPolicy.decide(exchange.isStarted(), status, tries);
-        if (choice.sessionLost()) {
-            core.handleAttemptLost(key, SessionEnd.BOX_FORGOT);
+        SegmentRetryPolicy.Decision decision = SegmentRetryPolicy.decide(exchange.isStarted(), status, tries);
+        if (decision.sessionLost()) {
+            core.handleAttemptLost(attemptKey, SessionEnd.BOX_FORGOT);
         }
-        switch (choice.action()) {
+        switch (decision.action()) {
             case ABORT -> exchange.abort();
             case RANGE_NOT_SATISFIABLE -> exchange.respond(416, new Headers(), new byte[0]);
             case GIVE_UP ->
@@ -169,14 +176,14 @@
             default ->
                 exchange.channel()
                         .eventLoop()
-                        .schedule(this::fetchSegment, (long) choice.retryDelayMs(), TimeUnit.MILLISECONDS);
+                        .schedule(this::fetchSegment, (long) decision.retryDelayMs(), TimeUnit.MILLISECONDS);
         }
     }
 
     private void cancelTransfer() {
-        if (segment != null) {
-            segment.cancel();
-            segment = null;
+        if (transfer != null) {
+            transfer.cancel();
+            transfer = null;
         }
     }
 }
--- a/front/src/main/java/spanrill/front/dash/package-info.java
+++ b/front/src/main/java/spanrill/front/dash/package-info.java
@@ -1,2 +1,2 @@
-/** The DASH viewer side: manifests by session token, segments relayed from the box that the module chose. */
+/** DASH requests of viewers: manifests by session token, segments relayed from the box that the module chose. */
 package spanrill.front.dash;
--- a/front/src/main/java/spanrill/front/list/BoxListDocument.java
+++ b/front/src/main/java/spanrill/front/list/BoxListDocument.java
@@ -18,15 +18,16 @@
 import spanrill.session.Title;
 
 /**
- * A list as the registry sends it: {@code
+ * A box list in the JSON format of the registry: {@code
  * {"kind":"whole|changes","epoch":1,"base":3,"version":4,"boxes":[{"id","host","port","zone","kind",
  * "cell","state":"ready|draining|gone","weight","startedAt"}],"titles":[{"name","home","copies","durationMs",
- * "segmentMs":2000|[2000,1900,...],"audioKb","lang"}]}}; a title's last two may be missing.
+ * "segmentMs":2000|[2000,1900,...],"audioKb","lang"}]}}; the members {@code audioKb} and {@code lang} of a
+ * title are optional.
  *
- * @param sheet the boxes
- * @param titles the catalogue, or null when it didn't come along
+ * @param update the boxes
+ * @param titles the catalogue by title name, or null when the document has none
  */
-public record BoxListDocument(BoxDirectory.ListUpdate sheet, Map<String, Title> titles) {
+public record BoxListDocument(BoxDirectory.ListUpdate update, Map<String, Title> titles) {
     private static final ObjectMapper JSON = JsonMapper.builder(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
                             .maxNestingDepth(16)
@@ -35,11 +36,11 @@
                     .build())
             .build();
 
-    private static final int MOST_PATTERN = 1000;
-    /** A day: what a manifest tells of each segment stays within its bounds. */
-    private static final double LONGEST_MS = 86_400_000;
+    private static final int MAX_SEGMENT_LENGTHS = 1000;
+    /** One day. Bounds the segment counts and times in a manifest. */
+    private static final double MAX_DURATION_MS = 86_400_000;
 
-    /** A list that can't be used, with the reason. */
+    /** Thrown when a document is not a valid box list. */
     public static final class InvalidListException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -48,22 +49,22 @@
         }
     }
 
-    /** Reads a list. */
-    public static BoxListDocument parse(byte[] json) throws BoxListDocument.InvalidListException {
+    /** Parses a list. */
+    public static BoxListDocument parse(byte[] json) throws InvalidListException {
         JsonNode root;
         try {
             root = JSON.readTree(new String(json, java.nio.charset.StandardCharsets.UTF_8));
         } catch (JsonProcessingException e) {
-            throw new BoxListDocument.InvalidListException("is no JSON");
+            throw new InvalidListException("not valid JSON");
         }
         if (root == null || !root.isObject()) {
-            throw new BoxListDocument.InvalidListException("is no JSON object");
+            throw new InvalidListException("not a JSON object");
         }
         ListKind kind =
                 switch (text(root, "kind")) {
                     case "whole" -> ListKind.WHOLE;
                     case "changes" -> ListKind.CHANGES;
-                    default -> throw new BoxListDocument.InvalidListException("kind must be whole or changes");
+                    default -> throw new InvalidListException("kind must be whole or changes");
                 };
         List<Box> boxes = new ArrayList<>();
         for (JsonNode box : root.path("boxes")) {
@@ -86,38 +87,38 @@
                 titles);
     }
 
-    private static Title title(JsonNode node) throws BoxListDocument.InvalidListException {
-        List<Long> segments = new ArrayList<>();
+    private static Title title(JsonNode node) throws InvalidListException {
+        List<Long> segmentsMs = new ArrayList<>();
         if (node.path("segmentMs").isArray()) {
-            for (JsonNode each : node.path("segmentMs")) {
-                segments.add((long) number(each, "segmentMs", 100, 60_000));
+            for (JsonNode length : node.path("segmentMs")) {
+                segmentsMs.add((long) number(length, "segmentMs", 100, 60_000));
             }
-            if (segments.isEmpty() || segments.size() > MOST_PATTERN) {
-                throw new BoxListDocument.InvalidListException("segmentMs must have 1 to " + MOST_PATTERN + " lengths");
+            if (segmentsMs.isEmpty() || segmentsMs.size() > MAX_SEGMENT_LENGTHS) {
+                throw new InvalidListException("segmentMs must have 1 to " + MAX_SEGMENT_LENGTHS + " elements");
             }
         } else {
-            segments.add((long) number(node, "segmentMs", 100, 60_000));
+            segmentsMs.add((long) number(node, "segmentMs", 100, 60_000));
         }
-        long duration = (long) number(node, "durationMs", 1, LONGEST_MS);
+        long durationMs = (long) number(node, "durationMs", 1, MAX_DURATION_MS);
         return new Title(
                 text(node, "name"),
                 (int) number(node, "home", 0, 1_000_000),
                 (int) number(node, "copies", 1, 1_000_000),
-                duration,
-                List.copyOf(segments),
+                durationMs,
+                List.copyOf(segmentsMs),
                 node.has("audioKb") ? number(node, "audioKb", 0, 1e6) : 0,
                 node.has("lang") ? text(node, "lang") : null);
     }
 
-    private static Box box(JsonNode node) throws BoxListDocument.InvalidListException {
+    private static Box box(JsonNode node) throws InvalidListException {
         ServerState state =
                 switch (text(node, "state")) {
                     case "ready" -> ServerState.READY;
                     case "draining" -> ServerState.DRAINING;
                     case "gone" -> ServerState.GONE;
-                    default -> throw new BoxListDocument.InvalidListException("state must be ready, draining or gone");
+                    default -> throw new InvalidListException("state must be ready, draining or gone");
                 };
-        double started = number(node, "startedAt", 0, 9e15);
+        double startedAt = number(node, "startedAt", 0, 9e15);
         return new Box(
                 new Server(
                         text(node, "id"),
@@ -126,27 +127,26 @@
                         (int) number(node, "cell", 0, 1_000_000),
                         state,
                         number(node, "weight", 0, 1e9),
-                        started == 0 ? Double.NaN : started),
+                        startedAt == 0 ? Double.NaN : startedAt),
                 text(node, "host"),
                 (int) number(node, "port", 1, 65_535));
     }
 
-    private static String text(JsonNode node, String name) throws BoxListDocument.InvalidListException {
+    private static String text(JsonNode node, String name) throws InvalidListException {
         JsonNode value = node.get(name);
         if (value == null
                 || !value.isTextual()
                 || value.textValue().isEmpty()
                 || value.textValue().length() > 200) {
-            throw new BoxListDocument.InvalidListException(name + " must be a text of 1 to 200 characters");
+            throw new InvalidListException(name + " must be a string of 1 to 200 characters");
         }
         return value.textValue();
     }
 
-    private static double number(JsonNode node, String name, double least, double most)
-            throws BoxListDocument.InvalidListException {
+    private static double number(JsonNode node, String name, double min, double max) throws InvalidListException {
         JsonNode value = node.isValueNode() ? node : node.get(name);
-        if (value == null || !value.isNumber() || !(value.doubleValue() >= least) || value.doubleValue() > most) {
-            throw new BoxListDocument.InvalidListException(name + " must be a number from " + least + " to " + most);
+        if (value == null || !value.isNumber() || !(value.doubleValue() >= min) || value.doubleValue() > max) {
+            throw new InvalidListException(name + " must be a number from " + min + " to " + max);
         }
         return value.doubleValue();
     }
--- a/front/src/main/java/spanrill/front/list/BoxListFile.java
+++ b/front/src/main/java/spanrill/front/list/BoxListFile.java
@@ -7,31 +7,31 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * The last whole list in a file: written beside it and renamed, so that a kill leaves the old or the new
- * one.
+ * File with the last whole box list. A new list is written to a temporary file, which then replaces the old file, so
+ * that a kill of the process leaves either the old or the new list.
  */
 public final class BoxListFile {
-    private static final long MOST_BYTES = 16 << 20;
+    private static final long MAX_BYTES = 16 << 20;
     private final Path file;
 
-    /** Kept in this folder. */
+    /** Uses the file {@code boxes.json} in this folder. */
     public BoxListFile(Path folder) {
         file = folder.resolve("boxes.json");
     }
 
-    /** Keeps a list. */
+    /** Replaces the stored list. */
     public void write(byte[] json) throws IOException {
         Files.createDirectories(file.getParent());
-        Path beside = file.resolveSibling("boxes.json.new");
-        Files.write(beside, json);
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = file.resolveSibling("boxes.json.new");
+        Files.write(temporary, json);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** The list kept, or null. */
+    /** Returns the stored list, or null when there is none. */
     public byte[] read() throws IOException {
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IOException(file + ": is larger than " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new IOException(file + ": is larger than " + MAX_BYTES + " bytes");
             }
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
--- a/front/src/main/java/spanrill/front/list/RegistryClient.java
+++ b/front/src/main/java/spanrill/front/list/RegistryClient.java
@@ -22,56 +22,57 @@
 import spanrill.wire.http.ResponseHead;
 
 /**
- * Long-polls the registry: {@code GET /boxes?front=N&epoch=E&version=V} is answered when there is something
- * newer, or 204 after the registry's own time. The module hears each list, and each call that failed.
+ * Long-polls the registry: {@code GET /boxes?front=N&epoch=E&version=V} is answered when the registry has a newer
+ * list, or with 204 after the registry's own timeout. Each list and each failed poll is passed to the session core.
  */
 public final class RegistryClient implements HttpClientConnection.Listener {
-    private static final int MOST_BYTES = 16 << 20;
-    private static final int CONNECT_MS = 1000;
-    private static final long POLL_MS = 40_000;
+    private static final int MAX_LIST_BYTES = 16 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final long POLL_TIMEOUT_MS = 40_000;
 
     private final FrontSettings settings;
     private final EventLoop loop;
     private final SessionCore core;
-    private final BoxDirectory book;
-    private final BoxListFile kept;
-    private final Executor disk;
+    private final BoxDirectory directory;
+    private final BoxListFile listFile;
+    private final Executor diskExecutor;
     private final Backoff backoff;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private HttpClientConnection connection;
-    private ScheduledFuture<?> late;
+    private ScheduledFuture<?> pollTimeout;
     private int status;
     private boolean closed;
 
-    /** A client that fills the book; the list is kept by {@code disk}, off the loop. */
+    /** Creates a client that updates the directory. Lists are written to disk by the executor, off the event loop. */
     public RegistryClient(
             FrontSettings settings,
             EventLoop loop,
             SessionCore core,
-            BoxDirectory book,
-            BoxListFile kept,
-            Executor disk) {
+            BoxDirectory directory,
+            BoxListFile listFile,
+            Executor diskExecutor) {
         this.settings = settings;
         this.loop = loop;
         this.core = core;
-        this.book = book;
-        this.kept = kept;
-        this.disk = disk;
+        this.directory = directory;
+        this.listFile = listFile;
+        this.diskExecutor = diskExecutor;
         backoff = new Backoff(100, 5000, settings.seed() + settings.me());
     }
 
-    /** Takes the kept list in, if there is one, and begins to poll. */
+    /** Applies the stored list, if there is one, and starts polling. */
     public void start() {
         try {
-            byte[] json = kept.read();
+            byte[] json = listFile.read();
             if (json != null) {
                 BoxListDocument document = BoxListDocument.parse(json);
-                BoxDirectory.ListUpdate sheet = document.sheet();
+                BoxDirectory.ListUpdate update = document.update();
                 applyUpdate(
-                        new BoxDirectory.ListUpdate(ListKind.KEPT, sheet.epoch(), -1, sheet.version(), sheet.boxes()),
+                        new BoxDirectory.ListUpdate(
+                                ListKind.KEPT, update.epoch(), -1, update.version(), update.boxes()),
                         document);
             }
-        } catch (IOException | spanrill.front.list.BoxListDocument.InvalidListException e) {
+        } catch (IOException | BoxListDocument.InvalidListException e) {
             EventLog.warn("list.kept.unusable", "reason", e.getMessage());
         }
         poll();
@@ -85,32 +86,33 @@
             sendPoll();
             return;
         }
-        FrontSettings.Address at = settings.registry();
+        FrontSettings.Address address = settings.registry();
         HttpClientConnection.open(
                 loop,
-                new InetSocketAddress(at.host(), at.port()),
-                CONNECT_MS,
+                new InetSocketAddress(address.host(), address.port()),
+                CONNECT_TIMEOUT_MS,
                 HttpLimits.CLIENT,
                 opened -> {
                     connection = opened;
                     sendPoll();
                 },
-                cause -> handleFailure("can't connect"));
+                cause -> handleFailure("can't connect to the registry"));
     }
 
     private void sendPoll() {
         body.reset();
-        late = loop.schedule(
+        pollTimeout = loop.schedule(
                 () -> {
                     connection.abort();
-                    handleFailure("no answer in time");
+                    handleFailure("no answer from the registry within " + POLL_TIMEOUT_MS + " ms");
                 },
-                POLL_MS,
+                POLL_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
-        String target = "/boxes?front=" + settings.me() + "&epoch=" + book.epoch() + "&version=" + book.version();
+        String target =
+                "/boxes?front=" + settings.me() + "&epoch=" + directory.epoch() + "&version=" + directory.version();
         if (closed || !connection.send("GET", target, Headers.of("host", "registry"), new byte[0], this)) {
-            late.cancel(false);
-            handleFailure("the connection ended");
+            pollTimeout.cancel(false);
+            handleFailure("the connection to the registry is closed");
         }
     }
 
@@ -121,10 +123,10 @@
 
     @Override
     public void onData(ByteBuf part) {
-        if (body.size() + part.readableBytes() > MOST_BYTES) {
-            late.cancel(false);
+        if (body.size() + part.readableBytes() > MAX_LIST_BYTES) {
+            pollTimeout.cancel(false);
             connection.abort();
-            handleFailure("the list is larger than " + MOST_BYTES + " bytes");
+            handleFailure("the list is larger than " + MAX_LIST_BYTES + " bytes");
             return;
         }
         byte[] bytes = new byte[part.readableBytes()];
@@ -134,7 +136,7 @@
 
     @Override
     public void onEnd() {
-        late.cancel(false);
+        pollTimeout.cancel(false);
         if (status == 204) {
             backoff.reset();
             poll();
@@ -147,42 +149,42 @@
         try {
             byte[] json = body.toByteArray();
             BoxListDocument document = BoxListDocument.parse(json);
-            if (!applyUpdate(document.sheet(), document)) {
-                EventLog.info("list.gap", "version", document.sheet().version());
-            } else if (document.sheet().kind() == ListKind.WHOLE) {
-                disk.execute(() -> saveList(json));
+            if (!applyUpdate(document.update(), document)) {
+                EventLog.info("list.gap", "version", document.update().version());
+            } else if (document.update().kind() == ListKind.WHOLE) {
+                diskExecutor.execute(() -> saveList(json));
             }
             backoff.reset();
             poll();
-        } catch (spanrill.front.list.BoxListDocument.InvalidListException fault) {
-            handleFailure("the list " + fault.getMessage());
+        } catch (BoxListDocument.InvalidListException e) {
+            handleFailure("invalid box list: " + e.getMessage());
         }
     }
 
-    private boolean applyUpdate(BoxDirectory.ListUpdate sheet, BoxListDocument document) {
-        List<Server> told = book.apply(sheet);
-        if (told == null) {
+    private boolean applyUpdate(BoxDirectory.ListUpdate update, BoxListDocument document) {
+        List<Server> servers = directory.apply(update);
+        if (servers == null) {
             return false;
         }
         if (document.titles() != null) {
             core.updateCatalogue(document.titles());
         }
-        EventLog.info("list", "kind", sheet.kind(), "version", sheet.version(), "boxes", told.size());
-        core.updateServers(sheet.kind(), told);
+        EventLog.info("list", "kind", update.kind(), "version", update.version(), "boxes", servers.size());
+        core.updateServers(update.kind(), servers);
         return true;
     }
 
     private void saveList(byte[] json) {
         try {
-            kept.write(json);
+            listFile.write(json);
         } catch (IOException e) {
             EventLog.warn("list.kept.failed", "reason", e.getMessage());
         }
     }
 
     @Override
-    public void onFailure(HttpClientConnection.Failure loss, String reason) {
-        late.cancel(false);
+    public void onFailure(HttpClientConnection.Failure failure, String reason) {
+        pollTimeout.cancel(false);
         handleFailure(reason);
     }
 
@@ -195,7 +197,7 @@
         loop.schedule(this::poll, (long) backoff.nextDelayMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Polls no more. */
+    /** Stops polling and closes the connection. */
     public void close() {
         closed = true;
         if (connection != null) {
--- a/front/src/main/java/spanrill/front/package-info.java
+++ b/front/src/main/java/spanrill/front/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The running front. {@link spanrill.front.SessionCore} hosts one module on one event loop and knows no
- * protocol; a viewer side ({@code dash}) offers it requests, a box side ({@code box}) carries out what the
- * module decides, {@code list} tells it of boxes, {@code token} reads who may watch.
+ * The running front. {@link spanrill.session.SessionCore} hosts one module on one event loop and is independent of
+ * protocols. Package {@code dash} passes viewers' requests to the core, {@code box} carries out the module's
+ * decisions, {@code list} provides the box list, {@code token} verifies the tokens of viewers, and {@code store}
+ * keeps spent tokens over a restart.
  */
 package spanrill.front;
--- a/front/src/main/java/spanrill/front/store/TokenStore.java
+++ b/front/src/main/java/spanrill/front/store/TokenStore.java
@@ -19,32 +19,32 @@
 import spanrill.session.SpentTokenStore;
 
 /**
- * Tokens in an MVStore file. One thread writes: it takes all that waits, commits and syncs once (group
- * commit), then lets those go on who waited for it. After a kill the file opens at its last commit; what was
- * acknowledged is in it.
+ * Stores tokens in an MVStore file. One thread takes all pending writes, commits and syncs them together (group
+ * commit) and then runs their callbacks. After a kill the file opens at its last commit, which has every
+ * acknowledged write.
  */
 public final class TokenStore implements SpentTokenStore, AutoCloseable {
-    private static final int WAITING = 50_000;
-    private static final long SWEEP_MS = 10_000;
-    private static final double SLOW_MS = 100;
+    private static final int MAX_PENDING_WRITES = 50_000;
+    private static final long EXPIRY_SCAN_INTERVAL_MS = 10_000;
+    private static final double SLOW_COMMIT_MS = 100;
 
-    /** A token as it was found at the start. */
-    public record StoredToken(SpentTokenStore.TokenState fate, double expiresAt) {}
+    /** A token from the file, with its expiry in ms since 1970. */
+    public record StoredToken(SpentTokenStore.TokenState state, double expiresAt) {}
 
     private record PendingWrite(
-            String token, SpentTokenStore.TokenState fate, double expiresAt, Consumer<Boolean> then) {}
+            String token, SpentTokenStore.TokenState state, double expiresAt, Consumer<Boolean> callback) {}
 
     private final MVStore store;
     private final MVMap<String, String> tokens;
-    private final Executor loop;
-    private final BlockingQueue<TokenStore.PendingWrite> queue = new ArrayBlockingQueue<>(WAITING);
+    private final Executor callbackExecutor;
+    private final BlockingQueue<PendingWrite> pendingWrites = new ArrayBlockingQueue<>(MAX_PENDING_WRITES);
     private final Thread writer = new Thread(this::runWriter, "front-tokens");
-    private long sweptAt = System.currentTimeMillis();
+    private long lastExpiryScanMs = System.currentTimeMillis();
     private volatile boolean closed;
 
-    private TokenStore(MVStore store, Executor loop) {
+    private TokenStore(MVStore store, Executor callbackExecutor) {
         this.store = store;
-        this.loop = loop;
+        this.callbackExecutor = callbackExecutor;
         tokens = store.openMap("tokens");
         writer.setDaemon(true);
     }
@@ -52,9 +52,9 @@
     /**
      * Opens the store of a folder.
      *
-     * @throws IOException when the file can't be read: it is left as it is, for somebody to look at
+     * @throws IOException when the file can't be opened; it is left unchanged for inspection
      */
-    public static TokenStore open(Path folder, Executor loop) throws IOException {
+    public static TokenStore open(Path folder, Executor callbackExecutor) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve("tokens.mv");
         try {
@@ -63,7 +63,7 @@
                             .fileName(file.toString())
                             .autoCommitDisabled()
                             .open(),
-                    loop);
+                    callbackExecutor);
             opened.writer.start();
             return opened;
         } catch (MVStoreException e) {
@@ -71,63 +71,64 @@
         }
     }
 
-    /** What was kept from before. */
-    public Map<String, TokenStore.StoredToken> storedTokens() {
-        Map<String, TokenStore.StoredToken> kept = new HashMap<>();
-        tokens.forEach((token, text) -> {
-            int space = text.indexOf(' ');
-            kept.put(
+    /** Returns the stored tokens by id. */
+    public Map<String, StoredToken> storedTokens() {
+        Map<String, StoredToken> stored = new HashMap<>();
+        tokens.forEach((token, value) -> {
+            int space = value.indexOf(' ');
+            stored.put(
                     token,
-                    new TokenStore.StoredToken(
-                            SpentTokenStore.TokenState.valueOf(text.substring(0, space)),
-                            Double.parseDouble(text.substring(space + 1))));
+                    new StoredToken(
+                            SpentTokenStore.TokenState.valueOf(value.substring(0, space)),
+                            Double.parseDouble(value.substring(space + 1))));
         });
-        return kept;
+        return stored;
     }
 
     @Override
-    public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> then) {
+    public void recordTaken(String tokenId, double expiresAt, Consumer<Boolean> callback) {
         if (closed
-                || !queue.offer(
-                        new TokenStore.PendingWrite(tokenId, SpentTokenStore.TokenState.TAKEN, expiresAt, then))) {
-            then.accept(false);
+                || !pendingWrites.offer(
+                        new PendingWrite(tokenId, SpentTokenStore.TokenState.TAKEN, expiresAt, callback))) {
+            callback.accept(false);
         }
     }
 
     @Override
-    public void recordState(String tokenId, SpentTokenStore.TokenState fate) {
-        // One that is dropped stays TAKEN: read as failed after a kill, which is safe.
-        queue.offer(new TokenStore.PendingWrite(tokenId, fate, Double.NaN, null));
+    public void recordState(String tokenId, SpentTokenStore.TokenState state) {
+        // If the queue is full, the write is dropped and the token stays TAKEN. Such a token counts as failed after a
+        // restart and is not accepted again, which is safe.
+        pendingWrites.offer(new PendingWrite(tokenId, state, Double.NaN, null));
     }
 
     private void runWriter() {
-        List<TokenStore.PendingWrite> group = new ArrayList<>();
-        while (!closed || !queue.isEmpty()) {
-            group.clear();
+        List<PendingWrite> batch = new ArrayList<>();
+        while (!closed || !pendingWrites.isEmpty()) {
+            batch.clear();
             try {
-                TokenStore.PendingWrite first = queue.poll(50, TimeUnit.MILLISECONDS);
+                PendingWrite first = pendingWrites.poll(50, TimeUnit.MILLISECONDS);
                 if (first == null) {
                     continue;
                 }
-                group.add(first);
-                queue.drainTo(group);
+                batch.add(first);
+                pendingWrites.drainTo(batch);
             } catch (InterruptedException e) {
                 return;
             }
-            boolean safe = commit(group);
-            for (TokenStore.PendingWrite change : group) {
-                if (change.then() != null) {
-                    loop.execute(() -> change.then().accept(safe));
+            boolean durable = commit(batch);
+            for (PendingWrite write : batch) {
+                if (write.callback() != null) {
+                    callbackExecutor.execute(() -> write.callback().accept(durable));
                 }
             }
         }
     }
 
-    private boolean commit(List<TokenStore.PendingWrite> group) {
-        long begin = System.nanoTime();
+    private boolean commit(List<PendingWrite> batch) {
+        long startNanos = System.nanoTime();
         try {
-            for (TokenStore.PendingWrite change : group) {
-                apply(change);
+            for (PendingWrite write : batch) {
+                apply(write);
             }
             removeExpired();
             store.commit();
@@ -136,36 +137,37 @@
             EventLog.error("tokens.unsafe", null, "reason", String.valueOf(e.getMessage()));
             return false;
         }
-        double ms = (System.nanoTime() - begin) / 1e6;
-        if (ms > SLOW_MS) {
-            EventLog.warn("tokens.slow", "ms", Math.round(ms), "group", group.size());
+        double ms = (System.nanoTime() - startNanos) / 1e6;
+        if (ms > SLOW_COMMIT_MS) {
+            EventLog.warn("tokens.slow", "ms", Math.round(ms), "group", batch.size());
         }
         return true;
     }
 
-    private void apply(TokenStore.PendingWrite change) {
-        if (change.fate() == null) {
-            tokens.remove(change.token());
-        } else if (change.fate() == SpentTokenStore.TokenState.TAKEN) {
-            tokens.put(change.token(), SpentTokenStore.TokenState.TAKEN + " " + change.expiresAt());
+    private void apply(PendingWrite write) {
+        if (write.state() == null) {
+            tokens.remove(write.token());
+        } else if (write.state() == SpentTokenStore.TokenState.TAKEN) {
+            tokens.put(write.token(), SpentTokenStore.TokenState.TAKEN + " " + write.expiresAt());
         } else {
-            tokens.computeIfPresent(change.token(), (token, text) -> change.fate() + text.substring(text.indexOf(' ')));
+            tokens.computeIfPresent(
+                    write.token(), (token, value) -> write.state() + value.substring(value.indexOf(' ')));
         }
     }
 
-    /** Forgets tokens that have expired: their date alone executor them away. */
+    /** Removes expired tokens, which are rejected by their expiry date alone. */
     private void removeExpired() {
-        long now = System.currentTimeMillis();
-        if (now - sweptAt >= SWEEP_MS) {
-            sweptAt = now;
+        long nowMs = System.currentTimeMillis();
+        if (nowMs - lastExpiryScanMs >= EXPIRY_SCAN_INTERVAL_MS) {
+            lastExpiryScanMs = nowMs;
             tokens.keySet().removeIf(token -> {
-                String text = tokens.get(token);
-                return Double.parseDouble(text.substring(text.indexOf(' ') + 1)) < now;
+                String value = tokens.get(token);
+                return Double.parseDouble(value.substring(value.indexOf(' ') + 1)) < nowMs;
             });
         }
     }
 
-    /** Writes what waits and closes the file. */
+    /** Writes all pending changes and closes the file. */
     @Override
     public void close() {
         closed = true;
--- a/front/src/main/java/spanrill/front/store/package-info.java
+++ b/front/src/main/java/spanrill/front/store/package-info.java
@@ -1,2 +1,2 @@
-/** What a front must still know after it was killed: the tokens of paid sessions that it may have set up. */
+/** Storage that survives a kill of the front: the tokens of paid sessions that may have been set up. */
 package spanrill.front.store;
--- a/front/src/main/java/spanrill/front/token/TokenKeys.java
+++ b/front/src/main/java/spanrill/front/token/TokenKeys.java
@@ -22,84 +22,84 @@
 import java.util.Set;
 
 /**
- * Verifies tokens by a file of keys. The algorithm is fixed by the kind of the key that the token's {@code
- * kid} names, never by the token alone: so {@code none} and a public key used as a secret get nowhere
- * (RFC 8725 sections 3.1 and 3.2).
+ * Verifies tokens with the keys of a JWK set file. The algorithm follows from the type of the key that the token's
+ * {@code kid} names, never from the token alone. This defeats the algorithm {@code none} and the use of a public key
+ * as an HMAC secret (RFC 8725 sections 3.1 and 3.2).
  */
 public final class TokenKeys {
-    /** A token longer than this is not looked at. */
-    public static final int MOST_CHARS = 4096;
+    /** Maximum length of a token; longer ones are rejected without being parsed. */
+    public static final int MAX_TOKEN_CHARS = 4096;
 
-    private static final int MOST_KEYS = 64;
-    private static final long MOST_FILE = 256 * 1024;
-    private static final long SKEW_S = 5;
-    private static final int MOST_TEXT = 256;
+    private static final int MAX_KEYS = 64;
+    private static final long MAX_FILE_BYTES = 256 * 1024;
+    private static final long CLOCK_SKEW_S = 5;
+    private static final int MAX_CLAIM_CHARS = 256;
 
     private record Key(JWSAlgorithm algorithm, JWSVerifier verifier) {}
 
-    /** Claims whose signature was found right, by a key of the file. */
+    /** The claims of a token with a valid signature, and the key that verified it. */
     record VerifiedClaims(JWTClaimsSet claims, Object key) {}
 
     private final Path file;
     private final Set<String> classes;
     private volatile Map<String, Key> keys = Map.of();
-    private FileTime loaded;
+    private FileTime loadedModifiedAt;
 
-    /** Keys of a file; tokens must be of one of these classes. */
+    /** Creates an empty set of keys, to be loaded from {@code file}. Tokens must be of one of the classes. */
     public TokenKeys(Path file, Set<String> classes) {
         this.file = file;
         this.classes = classes;
     }
 
     /**
-     * Reads the file if it changed since it was read.
+     * Reads the file if its modification time changed since it was last read.
      *
-     * @return true when new keys are in force
-     * @throws IOException when it can't be read or has no usable key; the old keys stay in force
+     * @return true when the keys were replaced
+     * @throws IOException when the file can't be read or is not a valid set of keys; the old keys stay active
      */
     public synchronized boolean reload() throws IOException {
-        FileTime changed = Files.getLastModifiedTime(file);
-        if (changed.equals(loaded)) {
+        FileTime modifiedAt = Files.getLastModifiedTime(file);
+        if (modifiedAt.equals(loadedModifiedAt)) {
             return false;
         }
-        if (Files.size(file) > MOST_FILE) {
-            throw new IOException(file + ": is larger than " + MOST_FILE + " bytes");
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new IOException(file + ": is larger than " + MAX_FILE_BYTES + " bytes");
         }
-        loaded = changed;
-        Map<String, Key> read = new HashMap<>();
+        loadedModifiedAt = modifiedAt;
+        Map<String, Key> newKeys = new HashMap<>();
         try {
             for (JWK jwk : JWKSet.parse(Files.readString(file)).getKeys()) {
                 if (jwk.getKeyID() == null) {
                     throw new IOException(file + ": a key has no kid");
                 }
-                if (read.size() >= MOST_KEYS) {
-                    throw new IOException(file + ": has more than " + MOST_KEYS + " keys");
+                if (newKeys.size() >= MAX_KEYS) {
+                    throw new IOException(file + ": has more than " + MAX_KEYS + " keys");
                 }
-                if (read.put(jwk.getKeyID(), toKey(jwk)) != null) {
-                    throw new IOException(file + ": kid " + jwk.getKeyID() + " is given twice");
+                if (newKeys.put(jwk.getKeyID(), toKey(jwk)) != null) {
+                    throw new IOException(file + ": kid " + jwk.getKeyID() + " is used by two keys");
                 }
             }
         } catch (ParseException | JOSEException e) {
-            throw new IOException(file + ": is no usable JWK set: " + e.getMessage(), e);
+            throw new IOException(file + ": is not a valid JWK set: " + e.getMessage(), e);
         }
-        if (read.isEmpty()) {
+        if (newKeys.isEmpty()) {
             throw new IOException(file + ": has no key");
         }
-        keys = read;
+        keys = newKeys;
         return true;
     }
 
     private Key toKey(JWK jwk) throws JOSEException, IOException {
-        if (jwk instanceof ECKey ec) {
-            return new Key(JWSAlgorithm.ES256, new ECDSAVerifier(ec.toPublicJWK()));
+        if (jwk instanceof ECKey ecKey) {
+            return new Key(JWSAlgorithm.ES256, new ECDSAVerifier(ecKey.toPublicJWK()));
         }
-        if (jwk instanceof OctetSequenceKey secret) {
-            return new Key(JWSAlgorithm.HS256, new MACVerifier(secret));
+        if (jwk instanceof OctetSequenceKey secretKey) {
+            return new Key(JWSAlgorithm.HS256, new MACVerifier(secretKey));
         }
         throw new IOException(file + ": kid " + jwk.getKeyID() + " is neither EC nor oct");
     }
 
-    /** Ids of the keys in force. */
+    /** Returns the ids of the active keys. */
     public Set<String> keyIds() {
         return keys.keySet();
     }
@@ -107,41 +107,42 @@
     /**
      * Verifies a token.
      *
-     * @param text the token
-     * @param title title that is asked for
-     * @param nowS seconds since 1970
+     * @param text the encoded token
+     * @param title the requested title
+     * @param nowS current time, seconds since 1970
+     * @throws TokenRejectedException when the token does not permit the request
      */
     public SessionToken verify(String text, String title, long nowS) throws TokenRejectedException {
         return validateClaims(verifySignature(text), title, nowS);
     }
 
     /**
-     * The class that a token claims, before anything of it is verified; an empty text when it can't be
-     * read.
+     * Returns the class that a token claims, without verification of the token; an empty string when the claim is
+     * missing or the token can't be parsed.
      */
     public static String claimedClass(String text) {
         try {
-            String claimed = text == null || text.length() > MOST_CHARS
+            String className = text == null || text.length() > MAX_TOKEN_CHARS
                     ? null
                     : SignedJWT.parse(text).getJWTClaimsSet().getStringClaim("class");
-            return claimed == null ? "" : claimed;
+            return className == null ? "" : className;
         } catch (ParseException | IllegalArgumentException e) {
             return "";
         }
     }
 
-    /** True while the key that a signature was found right by is still in force. */
-    boolean isActive(TokenKeys.VerifiedClaims signed) {
-        return keys.containsValue(signed.key());
+    /** Returns true when the key that verified the signature is still active. */
+    boolean isActive(VerifiedClaims verified) {
+        return keys.containsValue(verified.key());
     }
 
-    /** Verifies the signature alone. */
-    TokenKeys.VerifiedClaims verifySignature(String text) throws TokenRejectedException {
+    /** Verifies the signature of a token, but not its claims. */
+    VerifiedClaims verifySignature(String text) throws TokenRejectedException {
         if (text == null || text.isEmpty()) {
             throw new TokenRejectedException(401, "no token");
         }
-        if (text.length() > MOST_CHARS) {
-            throw new TokenRejectedException(401, "the token is longer than " + MOST_CHARS + " characters");
+        if (text.length() > MAX_TOKEN_CHARS) {
+            throw new TokenRejectedException(401, "the token is longer than " + MAX_TOKEN_CHARS + " characters");
         }
         try {
             SignedJWT jwt = SignedJWT.parse(text);
@@ -155,17 +156,16 @@
             if (!jwt.verify(key.verifier())) {
                 throw new TokenRejectedException(401, "the token's signature is wrong");
             }
-            return new TokenKeys.VerifiedClaims(jwt.getJWTClaimsSet(), key);
+            return new VerifiedClaims(jwt.getJWTClaimsSet(), key);
         } catch (ParseException | JOSEException | IllegalArgumentException e) {
             throw new TokenRejectedException(401, "the token is no signed JWT");
         }
     }
 
-    /** Looks at what a signed token says. */
-    SessionToken validateClaims(TokenKeys.VerifiedClaims signed, String title, long nowS)
-            throws TokenRejectedException {
+    /** Checks expiry, title, class and the form of the claims. */
+    SessionToken validateClaims(VerifiedClaims verified, String title, long nowS) throws TokenRejectedException {
         try {
-            return toSessionToken(signed.claims(), title, nowS);
+            return toSessionToken(verified.claims(), title, nowS);
         } catch (ParseException e) {
             throw new TokenRejectedException(401, "a claim of the token is of the wrong type");
         }
@@ -173,16 +173,16 @@
 
     private SessionToken toSessionToken(JWTClaimsSet claims, String title, long nowS)
             throws TokenRejectedException, ParseException {
-        Date expires = claims.getExpirationTime();
-        if (expires == null) {
+        Date expiry = claims.getExpirationTime();
+        if (expiry == null) {
             throw new TokenRejectedException(401, "the token has no expiry");
         }
-        long expiresS = expires.getTime() / 1000;
-        if (expiresS + SKEW_S <= nowS) {
+        long expiresS = expiry.getTime() / 1000;
+        if (expiresS + CLOCK_SKEW_S <= nowS) {
             throw new TokenRejectedException(401, "the token has expired");
         }
         Date notBefore = claims.getNotBeforeTime();
-        if (notBefore != null && notBefore.getTime() / 1000 > nowS + SKEW_S) {
+        if (notBefore != null && notBefore.getTime() / 1000 > nowS + CLOCK_SKEW_S) {
             throw new TokenRejectedException(401, "the token is not valid yet");
         }
         String id = requiredText(claims.getJWTID(), "jti");
@@ -206,7 +206,7 @@
     }
 
     private static String requiredText(String value, String claim) throws TokenRejectedException {
-        if (value == null || value.isEmpty() || value.length() > MOST_TEXT) {
+        if (value == null || value.isEmpty() || value.length() > MAX_CLAIM_CHARS) {
             throw new TokenRejectedException(401, "the token's " + claim + " is missing or too long");
         }
         return value;
--- a/front/src/main/java/spanrill/front/token/TokenVerifier.java
+++ b/front/src/main/java/spanrill/front/token/TokenVerifier.java
@@ -10,75 +10,71 @@
 import spanrill.decisions.AdmissionQueue;
 
 /**
- * Verifies tokens off the front's loop: an ES256 signature takes this JVM about 1.5 ms, which would hold
- * every
- * session up during a flash crowd. Signatures found right are remembered, so that a viewer's retries cost
- * nothing; dates, title and class are looked at each time. Who waits and who is told that there is no room is
- * decided by a {@link AdmissionQueue}.
+ * Verifies tokens on its own threads: an ES256 signature takes about 1.5 ms, which would delay all sessions on the
+ * event loop during a flash crowd. Tokens with a valid signature are cached, so that a viewer's retries cost little;
+ * dates, title and class are checked for each request. An {@link AdmissionQueue} decides which requests wait and
+ * which are shed.
  */
 public final class TokenVerifier implements AutoCloseable {
-    private static final int REMEMBERED = 20_000;
-    private static final Duration REMEMBERED_FOR = Duration.ofMinutes(2);
-    private static final double FIRST_GUESS_MS = 1;
+    private static final int MAX_CACHED_TOKENS = 20_000;
+    private static final Duration CACHE_LIFETIME = Duration.ofMinutes(2);
+    private static final double INITIAL_SERVICE_MS = 1;
 
-    /** What came of a token: a session token, a fault, or neither when there was no room for it. */
-    public record VerificationResult(SessionToken token, TokenRejectedException fault) {
-        /** True when it was not looked at: too many wait, or it can't be in time any more. */
+    /** The result of a request: the verified token, the rejection, or neither when the request was shed. */
+    public record VerificationResult(SessionToken token, TokenRejectedException rejection) {
+        /** Returns true when the token was not verified: the queue is full, or the deadline can't be met. */
         public boolean isShed() {
-            return token == null && fault == null;
+            return token == null && rejection == null;
         }
     }
 
     /**
      * A token to verify.
      *
-     * @param text the token
-     * @param title title that is asked for
-     * @param nowS seconds since 1970
-     * @param deadline when its viewer has no use for it any more, ms of the front's clock
-     * @param worth what it is worth next to others
+     * @param text the encoded token
+     * @param title the requested title
+     * @param nowS current time, seconds since 1970
+     * @param deadline time after which the result is of no use to the viewer, ms of the front's clock
+     * @param worth worth of the request; a full queue sheds the request of the lowest worth
      */
     public record VerificationRequest(String text, String title, long nowS, double deadline, double worth) {}
 
     private final class QueuedRequest {
-        private final TokenVerifier.VerificationRequest wish;
-        private final Executor loop;
-        private final Consumer<TokenVerifier.VerificationResult> done;
+        private final VerificationRequest request;
+        private final Executor callbackExecutor;
+        private final Consumer<VerificationResult> callback;
 
-        QueuedRequest(
-                TokenVerifier.VerificationRequest wish,
-                Executor loop,
-                Consumer<TokenVerifier.VerificationResult> done) {
-            this.wish = wish;
-            this.loop = loop;
-            this.done = done;
+        QueuedRequest(VerificationRequest request, Executor callbackExecutor, Consumer<VerificationResult> callback) {
+            this.request = request;
+            this.callbackExecutor = callbackExecutor;
+            this.callback = callback;
         }
 
-        void complete(TokenVerifier.VerificationResult verdict) {
-            loop.execute(() -> done.accept(verdict));
+        void complete(VerificationResult result) {
+            callbackExecutor.execute(() -> callback.accept(result));
         }
     }
 
-    /** The clock that deadlines are told by. */
+    /** The clock to which deadlines refer. */
     public interface TimeSource {
-        /** Now, ms. */
+        /** Returns the current time, ms. */
         double now();
     }
 
     private final TokenKeys keys;
-    private final TokenVerifier.TimeSource time;
-    private final AdmissionQueue<TokenVerifier.QueuedRequest> room;
+    private final TimeSource clock;
+    private final AdmissionQueue<QueuedRequest> queue;
     private final List<Thread> workers = new ArrayList<>();
-    private final Cache<String, spanrill.front.token.TokenKeys.VerifiedClaims> right = Caffeine.newBuilder()
-            .maximumSize(REMEMBERED)
-            .expireAfterWrite(REMEMBERED_FOR)
+    private final Cache<String, TokenKeys.VerifiedClaims> verifiedTokens = Caffeine.newBuilder()
+            .maximumSize(MAX_CACHED_TOKENS)
+            .expireAfterWrite(CACHE_LIFETIME)
             .build();
 
-    /** Verifies with so many threads; at most so many tokens wait. */
-    public TokenVerifier(TokenKeys keys, int threads, int waiting, TokenVerifier.TimeSource time) {
+    /** Starts {@code threads} threads; at most {@code maxWaiting} requests wait for them. */
+    public TokenVerifier(TokenKeys keys, int threads, int maxWaiting, TimeSource clock) {
         this.keys = keys;
-        this.time = time;
-        room = new AdmissionQueue<>(waiting, threads, FIRST_GUESS_MS);
+        this.clock = clock;
+        queue = new AdmissionQueue<>(maxWaiting, threads, INITIAL_SERVICE_MS);
         for (int i = 0; i < threads; i++) {
             Thread thread = new Thread(this::runWorker, "front-token-" + i);
             thread.setDaemon(true);
@@ -90,77 +86,74 @@
     /**
      * Verifies a token.
      *
-     * @param loop runs {@code done}, unless the verdict is known within the call
-     * @return leaves the queue when it is run: for a viewer who went away
+     * @param callbackExecutor runs {@code callback}, unless the token is cached: then the callback runs within the call
+     * @return action that removes the request from the queue, for a viewer that disconnects
      */
     public Runnable verify(
-            TokenVerifier.VerificationRequest wish, Executor loop, Consumer<TokenVerifier.VerificationResult> done) {
-        spanrill.front.token.TokenKeys.VerifiedClaims known =
-                wish.text() == null ? null : right.getIfPresent(wish.text());
-        if (known != null && keys.isActive(known)) {
-            done.accept(validateClaims(known, wish));
+            VerificationRequest request, Executor callbackExecutor, Consumer<VerificationResult> callback) {
+        TokenKeys.VerifiedClaims cached = request.text() == null ? null : verifiedTokens.getIfPresent(request.text());
+        if (cached != null && keys.isActive(cached)) {
+            callback.accept(validateClaims(cached, request));
             return () -> {};
         }
-        TokenVerifier.QueuedRequest waiting = new TokenVerifier.QueuedRequest(wish, loop, done);
-        List<TokenVerifier.QueuedRequest> shed;
-        synchronized (room) {
-            shed = room.enqueue(time.now(), waiting, wish.deadline(), wish.worth());
-            room.notify();
+        QueuedRequest queued = new QueuedRequest(request, callbackExecutor, callback);
+        List<QueuedRequest> shed;
+        synchronized (queue) {
+            shed = queue.enqueue(clock.now(), queued, request.deadline(), request.worth());
+            queue.notify();
         }
-        shed.forEach(each -> each.complete(new TokenVerifier.VerificationResult(null, null)));
+        shed.forEach(dropped -> dropped.complete(new VerificationResult(null, null)));
         return () -> {
-            synchronized (room) {
-                room.cancel(waiting);
+            synchronized (queue) {
+                queue.cancel(queued);
             }
         };
     }
 
     private void runWorker() {
-        List<TokenVerifier.QueuedRequest> shed = new ArrayList<>();
+        List<QueuedRequest> shed = new ArrayList<>();
         while (!Thread.currentThread().isInterrupted()) {
-            TokenVerifier.QueuedRequest next;
-            synchronized (room) {
-                next = room.poll(time.now(), shed);
+            QueuedRequest next;
+            synchronized (queue) {
+                next = queue.poll(clock.now(), shed);
                 if (next == null && shed.isEmpty()) {
                     try {
-                        room.wait();
+                        queue.wait();
                     } catch (InterruptedException e) {
                         return;
                     }
                 }
             }
-            shed.forEach(each -> each.complete(new TokenVerifier.VerificationResult(null, null)));
+            shed.forEach(dropped -> dropped.complete(new VerificationResult(null, null)));
             shed.clear();
             if (next != null) {
-                double begin = time.now();
-                next.complete(verifySignature(next.wish));
-                synchronized (room) {
-                    room.recordServiceTime(time.now() - begin);
+                double startedAt = clock.now();
+                next.complete(verifySignature(next.request));
+                synchronized (queue) {
+                    queue.recordServiceTime(clock.now() - startedAt);
                 }
             }
         }
     }
 
-    private TokenVerifier.VerificationResult verifySignature(TokenVerifier.VerificationRequest wish) {
+    private VerificationResult verifySignature(VerificationRequest request) {
         try {
-            spanrill.front.token.TokenKeys.VerifiedClaims signed = keys.verifySignature(wish.text());
-            right.put(wish.text(), signed);
-            return validateClaims(signed, wish);
-        } catch (TokenRejectedException fault) {
-            return new TokenVerifier.VerificationResult(null, fault);
+            TokenKeys.VerifiedClaims claims = keys.verifySignature(request.text());
+            verifiedTokens.put(request.text(), claims);
+            return validateClaims(claims, request);
+        } catch (TokenRejectedException rejection) {
+            return new VerificationResult(null, rejection);
         } catch (RuntimeException e) {
-            // A library's fault over strange bytes must still be an answer.
-            return new TokenVerifier.VerificationResult(
-                    null, new TokenRejectedException(401, "the token can't be read"));
+            // The JWT library may fail on malformed input; the viewer must get an answer in this case too.
+            return new VerificationResult(null, new TokenRejectedException(401, "the token can't be read"));
         }
     }
 
-    private TokenVerifier.VerificationResult validateClaims(
-            spanrill.front.token.TokenKeys.VerifiedClaims signed, TokenVerifier.VerificationRequest wish) {
+    private VerificationResult validateClaims(TokenKeys.VerifiedClaims claims, VerificationRequest request) {
         try {
-            return new TokenVerifier.VerificationResult(keys.validateClaims(signed, wish.title(), wish.nowS()), null);
-        } catch (TokenRejectedException fault) {
-            return new TokenVerifier.VerificationResult(null, fault);
+            return new VerificationResult(keys.validateClaims(claims, request.title(), request.nowS()), null);
+        } catch (TokenRejectedException rejection) {
+            return new VerificationResult(null, rejection);
         }
     }
 
--- a/front/src/main/java/spanrill/front/token/package-info.java
+++ b/front/src/main/java/spanrill/front/token/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Session tokens: JWTs (RFC 7519) signed by ES256 or HS256, verified by a JWK set (RFC 7517) that is
- * reloaded.
- */
+/** Session tokens: JWTs (RFC 7519) signed with ES256 or HS256, verified with a reloadable JWK set (RFC 7517). */
 package spanrill.front.token;
