--- a/front/src/test/java/spanrill/front/TokenKeysTest.java
+++ b/front/src/test/java/spanrill/front/TokenKeysTest.java
@@ -32,22 +32,22 @@
 import spanrill.front.token.TokenRejectedException;
 
 class TokenKeysTest {
-    private static final long NOW = 1_800_000_000L;
+    private static final long NOW_S = 1_800_000_000L;
 
     @TempDir
     Path folder;
 
-    private ECKey ec;
-    private OctetSequenceKey secret;
+    private ECKey ecKey;
+    private OctetSequenceKey hmacKey;
     private TokenKeys keys;
     private Path file;
 
     @BeforeEach
-    void keys() throws Exception {
-        ec = new ECKeyGenerator(Curve.P_256).keyID("ec").generate();
-        secret = new OctetSequenceKeyGenerator(256).keyID("hs").generate();
+    void createKeyFile() throws Exception {
+        ecKey = new ECKeyGenerator(Curve.P_256).keyID("ec").generate();
+        hmacKey = new OctetSequenceKeyGenerator(256).keyID("hs").generate();
         file = folder.resolve("keys.json");
-        Files.writeString(file, new JWKSet(java.util.List.of(ec.toPublicJWK(), secret)).toString(false));
+        Files.writeString(file, new JWKSet(java.util.List.of(ecKey.toPublicJWK(), hmacKey)).toString(false));
         keys = new TokenKeys(file, Set.of("free", "paid"));
         assertTrue(keys.reload());
     }
@@ -59,90 +59,91 @@
                 .claim("title", "derby")
                 .claim("class", "paid")
                 .claim("top", 3)
-                .expirationTime(new Date((NOW + 60) * 1000));
+                .expirationTime(new Date((NOW_S + 60) * 1000));
     }
 
-    private String es(JWTClaimsSet.Builder claims) throws Exception {
+    private String signWithEcKey(JWTClaimsSet.Builder claims) throws Exception {
         SignedJWT jwt = new SignedJWT(
                 new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("ec").build(), claims.build());
-        jwt.sign(new ECDSASigner(ec));
+        jwt.sign(new ECDSASigner(ecKey));
         return jwt.serialize();
     }
 
-    private void refused(int status, String reason, String token) {
-        TokenRejectedException fault =
-                assertThrows(TokenRejectedException.class, () -> keys.verify(token, "derby", NOW));
-        assertEquals(status, fault.status(), fault.getMessage());
-        assertTrue(fault.getMessage().contains(reason), fault.getMessage());
+    private void assertRejected(int status, String reason, String token) {
+        TokenRejectedException rejection =
+                assertThrows(TokenRejectedException.class, () -> keys.verify(token, "derby", NOW_S));
+        assertEquals(status, rejection.status(), rejection.getMessage());
+        assertTrue(rejection.getMessage().contains(reason), rejection.getMessage());
     }
 
     @Test
-    void goodTokensOfBothKinds() throws Exception {
+    void verifyAcceptsTokensSignedByEcAndHmacKeys() throws Exception {
         assertEquals(
-                new SessionToken("id-1", "derby", "paid", null, "viewer", 3, NOW + 60),
-                keys.verify(es(claims()), "derby", NOW));
+                new SessionToken("id-1", "derby", "paid", null, "viewer", 3, NOW_S + 60),
+                keys.verify(signWithEcKey(claims()), "derby", NOW_S));
         SignedJWT jwt = new SignedJWT(
                 new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("hs").build(),
                 claims().claim("tenant", "radio").build());
-        jwt.sign(new MACSigner(secret));
-        assertEquals("radio", keys.verify(jwt.serialize(), "derby", NOW).tenant());
+        jwt.sign(new MACSigner(hmacKey));
+        assertEquals("radio", keys.verify(jwt.serialize(), "derby", NOW_S).tenant());
     }
 
     @Test
-    void noneAndConfusedAlgorithms() throws Exception {
-        refused(401, "no signed JWT", new PlainJWT(claims().build()).serialize());
-        // The public key's bytes as an HMAC secret: the key's kind fixes the algorithm.
-        byte[] published = new byte[64];
-        System.arraycopy(ec.getX().decode(), 0, published, 0, 32);
-        System.arraycopy(ec.getY().decode(), 0, published, 32, 32);
+    void verifyRejectsUnsignedTokenAndPublicKeyUsedAsHmacSecret() throws Exception {
+        assertRejected(401, "no signed JWT", new PlainJWT(claims().build()).serialize());
+        // The bytes of the public EC key serve as an HMAC secret; the key's type determines the algorithm.
+        byte[] publicKeyBytes = new byte[64];
+        System.arraycopy(ecKey.getX().decode(), 0, publicKeyBytes, 0, 32);
+        System.arraycopy(ecKey.getY().decode(), 0, publicKeyBytes, 32, 32);
         SignedJWT jwt = new SignedJWT(
                 new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("ec").build(), claims().build());
-        jwt.sign(new MACSigner(published));
-        refused(401, "algorithm", jwt.serialize());
+        jwt.sign(new MACSigner(publicKeyBytes));
+        assertRejected(401, "algorithm", jwt.serialize());
     }
 
     @Test
-    void wrongKeysAndChangedTokens() throws Exception {
-        SignedJWT other = new SignedJWT(
+    void verifyRejectsWrongKeyUnknownKeyAndMalformedToken() throws Exception {
+        SignedJWT wrongKey = new SignedJWT(
                 new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("ec").build(), claims().build());
-        other.sign(new ECDSASigner(new ECKeyGenerator(Curve.P_256).keyID("ec").generate()));
-        refused(401, "signature", other.serialize());
-        SignedJWT unknown = new SignedJWT(
+        wrongKey.sign(
+                new ECDSASigner(new ECKeyGenerator(Curve.P_256).keyID("ec").generate()));
+        assertRejected(401, "signature", wrongKey.serialize());
+        SignedJWT unknownKey = new SignedJWT(
                 new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("who").build(), claims().build());
-        unknown.sign(new ECDSASigner(ec));
-        refused(401, "not known", unknown.serialize());
-        refused(401, "no signed JWT", "a.b.c");
-        refused(401, "no token", "");
-        refused(401, "longer", "a".repeat(5000));
+        unknownKey.sign(new ECDSASigner(ecKey));
+        assertRejected(401, "not known", unknownKey.serialize());
+        assertRejected(401, "no signed JWT", "a.b.c");
+        assertRejected(401, "no token", "");
+        assertRejected(401, "longer", "a".repeat(5000));
     }
 
     @Test
-    void timesTitlesAndClasses() throws Exception {
-        refused(401, "expired", es(claims().expirationTime(new Date((NOW - 60) * 1000))));
-        refused(401, "no expiry", es(claims().expirationTime(null)));
-        refused(401, "not valid yet", es(claims().notBeforeTime(new Date((NOW + 60) * 1000))));
-        refused(403, "another title", es(claims().claim("title", "final")));
-        refused(403, "not served", es(claims().claim("class", "vip")));
-        refused(401, "jti", es(claims().jwtID("a b")));
-        refused(401, "jti is missing", es(claims().jwtID(null)));
-        refused(401, "wrong type", es(claims().claim("class", 7)));
-        refused(403, "below 0", es(claims().claim("top", -1)));
+    void verifyRejectsInvalidTimesTitlesAndClaims() throws Exception {
+        assertRejected(401, "expired", signWithEcKey(claims().expirationTime(new Date((NOW_S - 60) * 1000))));
+        assertRejected(401, "no expiry", signWithEcKey(claims().expirationTime(null)));
+        assertRejected(401, "not valid yet", signWithEcKey(claims().notBeforeTime(new Date((NOW_S + 60) * 1000))));
+        assertRejected(403, "another title", signWithEcKey(claims().claim("title", "final")));
+        assertRejected(403, "not served", signWithEcKey(claims().claim("class", "vip")));
+        assertRejected(401, "jti", signWithEcKey(claims().jwtID("a b")));
+        assertRejected(401, "jti is missing", signWithEcKey(claims().jwtID(null)));
+        assertRejected(401, "wrong type", signWithEcKey(claims().claim("class", 7)));
+        assertRejected(403, "below 0", signWithEcKey(claims().claim("top", -1)));
     }
 
     @Test
-    void keysRotateByReloadingAndBadFilesLeaveTheOldInForce() throws Exception {
-        String old = es(claims());
-        ec = new ECKeyGenerator(Curve.P_256).keyID("ec2").generate();
+    void reloadReplacesKeysAndKeepsThemWhenTheFileIsInvalid() throws Exception {
+        String tokenOfOldKey = signWithEcKey(claims());
+        ecKey = new ECKeyGenerator(Curve.P_256).keyID("ec2").generate();
         assertFalse(keys.reload());
-        Files.writeString(file, new JWKSet(ec.toPublicJWK()).toString(false));
+        Files.writeString(file, new JWKSet(ecKey.toPublicJWK()).toString(false));
         Files.setLastModifiedTime(file, FileTime.fromMillis(1));
         assertTrue(keys.reload());
         assertEquals(Set.of("ec2"), keys.keyIds());
-        refused(401, "not known", old);
-        int at = 2;
-        for (String bad : new String[] {"{", "{\"keys\":[]}", "{\"keys\":[{\"kty\":\"oct\",\"k\":\"AA\"}]}"}) {
-            Files.writeString(file, bad);
-            Files.setLastModifiedTime(file, FileTime.fromMillis(at++));
+        assertRejected(401, "not known", tokenOfOldKey);
+        int modifiedMs = 2;
+        for (String invalidFile : new String[] {"{", "{\"keys\":[]}", "{\"keys\":[{\"kty\":\"oct\",\"k\":\"AA\"}]}"}) {
+            Files.writeString(file, invalidFile);
+            Files.setLastModifiedTime(file, FileTime.fromMillis(modifiedMs++));
             assertThrows(IOException.class, keys::reload);
             assertEquals(Set.of("ec2"), keys.keyIds());
         }
--- a/front/src/test/java/spanrill/front/TokenStoreTest.java
+++ b/front/src/test/java/spanrill/front/TokenStoreTest.java
@@ -18,96 +18,93 @@
 import spanrill.session.SpentTokenStore;
 
 class TokenStoreTest {
-    private static final double LATER = 4e12;
+    private static final double EXPIRY = 4e12;
 
     @TempDir
     Path folder;
 
-    private static void take(TokenStore store, String... tokens) throws InterruptedException {
-        CountDownLatch safe = new CountDownLatch(tokens.length);
+    private static void recordAndAwait(TokenStore store, String... tokens) throws InterruptedException {
+        CountDownLatch durable = new CountDownLatch(tokens.length);
         for (String token : tokens) {
-            store.recordTaken(token, LATER, ok -> {
-                if (ok) {
-                    safe.countDown();
+            store.recordTaken(token, EXPIRY, written -> {
+                if (written) {
+                    durable.countDown();
                 }
             });
         }
-        assertTrue(safe.await(10, TimeUnit.SECONDS));
+        assertTrue(durable.await(10, TimeUnit.SECONDS));
     }
 
-    private Path copy(String name) throws IOException {
-        Path to = folder.resolve(name);
-        Files.createDirectories(to);
-        Files.copy(folder.resolve("tokens.mv"), to.resolve("tokens.mv"));
-        return to;
+    private Path copyStoreFile(String name) throws IOException {
+        Path target = folder.resolve(name);
+        Files.createDirectories(target);
+        Files.copy(folder.resolve("tokens.mv"), target.resolve("tokens.mv"));
+        return target;
     }
 
-    /** What the file holds while the process still has it open is what a kill leaves. */
+    /** A copy of the file of an open store is what a kill of the process leaves. */
     @Test
-    void whatWasAcknowledgedSurvivesAKill() throws Exception {
+    void acknowledgedWritesAreReadAfterKill() throws Exception {
         try (TokenStore store = TokenStore.open(folder, Runnable::run)) {
-            take(store, "a", "b", "c", "d");
+            recordAndAwait(store, "a", "b", "c", "d");
             store.recordState("b", SpentTokenStore.TokenState.USED);
             store.recordState("c", null);
-            take(store, "e");
-            try (TokenStore copy = TokenStore.open(copy("killed"), Runnable::run)) {
-                Map<String, spanrill.front.store.TokenStore.StoredToken> kept = copy.storedTokens();
-                assertEquals(
-                        new spanrill.front.store.TokenStore.StoredToken(SpentTokenStore.TokenState.TAKEN, LATER),
-                        kept.get("a"));
-                assertEquals(SpentTokenStore.TokenState.USED, kept.get("b").fate());
-                assertTrue(!kept.containsKey("c"));
-                assertEquals(4, kept.size());
+            recordAndAwait(store, "e");
+            try (TokenStore killed = TokenStore.open(copyStoreFile("killed"), Runnable::run)) {
+                Map<String, TokenStore.StoredToken> stored = killed.storedTokens();
+                assertEquals(new TokenStore.StoredToken(SpentTokenStore.TokenState.TAKEN, EXPIRY), stored.get("a"));
+                assertEquals(SpentTokenStore.TokenState.USED, stored.get("b").state());
+                assertTrue(!stored.containsKey("c"));
+                assertEquals(4, stored.size());
             }
         }
     }
 
     @Test
-    void manyAtOnceAreCommittedInGroups() throws Exception {
+    void concurrentWritesAreCommittedInGroups() throws Exception {
         try (TokenStore store = TokenStore.open(folder, Runnable::run)) {
-            AtomicInteger safe = new AtomicInteger();
-            CountDownLatch all = new CountDownLatch(5000);
-            long begin = System.nanoTime();
+            AtomicInteger durable = new AtomicInteger();
+            CountDownLatch callbacks = new CountDownLatch(5000);
+            long startNanos = System.nanoTime();
             for (int i = 0; i < 5000; i++) {
-                store.recordTaken("t" + i, LATER, ok -> {
-                    safe.addAndGet(ok ? 1 : 0);
-                    all.countDown();
+                store.recordTaken("t" + i, EXPIRY, written -> {
+                    durable.addAndGet(written ? 1 : 0);
+                    callbacks.countDown();
                 });
             }
-            assertTrue(all.await(20, TimeUnit.SECONDS));
-            assertEquals(5000, safe.get());
-            // One sync each would take many seconds on any disk.
-            assertTrue(System.nanoTime() - begin < 10_000_000_000L);
+            assertTrue(callbacks.await(20, TimeUnit.SECONDS));
+            assertEquals(5000, durable.get());
+            // One sync per write would take many seconds on any disk.
+            assertTrue(System.nanoTime() - startNanos < 10_000_000_000L);
         }
     }
 
-    /** A torn tail loses what was not acknowledged before it, or is told; it never gives wrong tokens. */
+    /** A truncated file loses its last commits or fails to open, but never yields wrong tokens. */
     @Test
-    void aFileCutAnywhereOpensAtAnEarlierCommitOrIsTold() throws Exception {
+    void truncatedFileOpensAtEarlierCommitOrIsReported() throws Exception {
         try (TokenStore store = TokenStore.open(folder, Runnable::run)) {
             for (int i = 0; i < 20; i++) {
-                take(store, "t" + i);
+                recordAndAwait(store, "t" + i);
             }
         }
-        byte[] whole = Files.readAllBytes(folder.resolve("tokens.mv"));
-        int opened = 0;
-        for (int cut = whole.length; cut >= 0; cut -= 997) {
-            Path at = Files.createDirectories(folder.resolve("cut" + cut));
-            Files.write(at.resolve("tokens.mv"), Arrays.copyOf(whole, cut));
-            try (TokenStore store = TokenStore.open(at, Runnable::run)) {
-                spanrill.front.store.TokenStore.StoredToken taken =
-                        new spanrill.front.store.TokenStore.StoredToken(SpentTokenStore.TokenState.TAKEN, LATER);
-                store.storedTokens().values().forEach(kept -> assertEquals(taken, kept));
-                opened++;
-            } catch (IOException told) {
-                assertTrue(told.getMessage().contains("tokens.mv"), told.getMessage());
+        byte[] fileBytes = Files.readAllBytes(folder.resolve("tokens.mv"));
+        int openedFiles = 0;
+        for (int length = fileBytes.length; length >= 0; length -= 997) {
+            Path truncated = Files.createDirectories(folder.resolve("cut" + length));
+            Files.write(truncated.resolve("tokens.mv"), Arrays.copyOf(fileBytes, length));
+            try (TokenStore store = TokenStore.open(truncated, Runnable::run)) {
+                TokenStore.StoredToken expected = new TokenStore.StoredToken(SpentTokenStore.TokenState.TAKEN, EXPIRY);
+                store.storedTokens().values().forEach(stored -> assertEquals(expected, stored));
+                openedFiles++;
+            } catch (IOException e) {
+                assertTrue(e.getMessage().contains("tokens.mv"), e.getMessage());
             }
         }
-        assertTrue(opened > 0);
+        assertTrue(openedFiles > 0);
     }
 
     @Test
-    void anotherFileIsTold() throws Exception {
+    void openReportsFileOfAnotherFormat() throws Exception {
         Files.writeString(folder.resolve("tokens.mv"), "nonsense ".repeat(2000));
         assertTrue(assertThrows(IOException.class, () -> TokenStore.open(folder, Runnable::run))
                 .getMessage()
@@ -115,11 +112,11 @@
     }
 
     @Test
-    void afterItsEndNothingIsSafe() throws Exception {
+    void recordTakenAfterCloseReportsFailure() throws Exception {
         TokenStore store = TokenStore.open(folder, Runnable::run);
         store.close();
-        int[] safe = {-1};
-        store.recordTaken("a", LATER, ok -> safe[0] = ok ? 1 : 0);
-        assertEquals(0, safe[0]);
+        int[] durable = {-1};
+        store.recordTaken("a", EXPIRY, written -> durable[0] = written ? 1 : 0);
+        assertEquals(0, durable[0]);
     }
 }
