--- a/day/src/main/java/spanrill/day/Arrival.java
+++ b/day/src/main/java/spanrill/day/Arrival.java
@@ -3,10 +3,10 @@
 import spanrill.model.player.ViewerTraits;
 
 /**
- * A viewer who comes.
+ * Arrival of a viewer.
  *
- * @param atMs when, from the start of the day
- * @param number from 0
- * @param traits what it is like
+ * @param atMs time of the arrival, in ms from the start of the day
+ * @param number number of the viewer in order of arrival, from 0
+ * @param traits properties of the viewer and its player
  */
 public record Arrival(double atMs, int number, ViewerTraits traits) {}
--- a/day/src/main/java/spanrill/day/Day.java
+++ b/day/src/main/java/spanrill/day/Day.java
@@ -7,26 +7,26 @@
 import spanrill.settings.Range;
 
 /**
- * A day file.
+ * Contents of a day file, which describes a day for rehearsals and the emulator.
  *
- * @param seed seed of all that is drawn
- * @param lengthMs new sessions come for so long
- * @param tailMs then the rehearsal goes on for so long
- * @param byteScale share of the true bytes that cross the sockets
- * @param zones halls
- * @param fronts fronts, spread over the halls in turn
+ * @param seed seed of all random draws
+ * @param lengthMs time during which viewers arrive, in ms
+ * @param tailMs time for which the run continues after the last arrivals, in ms
+ * @param byteScale share of the media bytes that is actually sent over sockets
+ * @param zones names of the halls
+ * @param fronts number of fronts, assigned to the halls round-robin
  * @param boxes replay boxes
  * @param titles titles
- * @param classes classes of session
- * @param ladder rates
- * @param notes what boxes tell
- * @param rules figures of the rules
- * @param arrivals new sessions
+ * @param classes session classes by name
+ * @param ladder ladder of rungs
+ * @param notes notes of boxes to fronts
+ * @param rules parameters of the rules of the front
+ * @param arrivals ordinary arrivals of viewers
  * @param flashes flash crowds
- * @param distances between halls
- * @param viewers what viewers do
- * @param registry lateness of the list
- * @param troubles what goes wrong
+ * @param distances latency between halls
+ * @param viewers behaviour of viewers
+ * @param registry delays of the registry
+ * @param troubles injected troubles
  */
 public record Day(
         @Default("1") long seed,
@@ -51,16 +51,16 @@
     /**
      * Replay boxes.
      *
-     * @param count how many
-     * @param racks over so many racks
-     * @param places streams that each runs at most
-     * @param linkKb link of each, kB a second
-     * @param linkSpread links are so much above or below
-     * @param uplinkShare a rack's uplink over its links
-     * @param uplinkSpread uplinks are so much above or below
-     * @param setUpMs work of a set-up
-     * @param coldMs warm after
-     * @param coldShare share of it at the start
+     * @param count number of boxes
+     * @param racks number of racks
+     * @param places maximum number of streams on a box
+     * @param linkKb mean link capacity of a box in kB per second
+     * @param linkSpread maximum relative deviation of a link capacity from the mean
+     * @param uplinkShare mean uplink capacity of a rack relative to the sum of its link capacities
+     * @param uplinkSpread maximum relative deviation of an uplink capacity from the mean
+     * @param setUpMs mean duration of a set-up on a warm box, in ms
+     * @param coldMs time from the start of a box until it is warm, in ms
+     * @param coldShare speed of a box at its start, as a share of its speed when warm
      */
     public record Boxes(
             @Range(min = 1, max = 1000) int count,
@@ -77,13 +77,15 @@
     /**
      * Titles.
      *
-     * @param count how many
-     * @param zipf exponent of their popularity
-     * @param copies cells that hold one: from, to
-     * @param durationMs length
-     * @param segmentMs length of a segment
-     * @param patternMs lengths of segments in turn, over and over; empty: all are of {@code segmentMs}
-     * @param audioKb rate of the audio that comes out of each session's rate, kB a second; 0: none of its own
+     * @param count number of titles
+     * @param zipf exponent of the Zipf distribution of their popularity
+     * @param copies minimum and maximum number of cells that hold a title
+     * @param durationMs duration of a title in ms
+     * @param segmentMs duration of a segment in ms
+     * @param patternMs durations of consecutive segments in ms, repeated cyclically; if empty, all segments last
+     *     {@code segmentMs}
+     * @param audioKb rate of a separate audio track in kB per second, taken from the session's rate; 0 for no separate
+     *     track
      */
     public record Titles(
             @Range(min = 1, max = 10_000) int count,
@@ -93,29 +95,38 @@
             @Default("1000") @Range(min = 100, max = 60_000) long segmentMs,
             @Default("[]") @Range(max = 1000) List<Long> patternMs,
             @Default("0") @Range(min = 0, max = 1e6) double audioKb) {
-        /** Lengths of segments in turn. */
+        /** Returns the durations of consecutive segments in ms, to be repeated cyclically. */
         public List<Long> segmentLengthsMs() {
             return patternMs.isEmpty() ? List.of(segmentMs) : patternMs;
         }
 
-        /** Checks the copies. */
+        /** Checks the copies and the segment durations. */
         public Titles {
             if (copies.get(0) < 1 || copies.get(1) < copies.get(0)) {
-                throw new IllegalArgumentException("titles.copies must be from 1 and in order");
+                throw new IllegalArgumentException("titles.copies must be [min, max] with 1 <= min <= max");
             }
             for (long length : patternMs) {
                 if (length < 100 || length > 60_000) {
-                    throw new IllegalArgumentException("titles.patternMs must be from 100 to 60000");
+                    throw new IllegalArgumentException(
+                            "each duration in titles.patternMs must be from 100 to 60000 ms");
                 }
             }
         }
     }
 
     /**
-     * A class of session, as the front's settings have it, and how it is asked for.
+     * A session class: the settings of the front for it and its demand.
      *
-     * @param share of new sessions
-     * @param sessionMs length of a session: from, to
+     * @param share share of the arriving viewers who request this class
+     * @param sessionMs minimum and maximum duration of a session in ms
+     * @param aimMs target time from the request until the session plays, in ms
+     * @param patienceMs time for which a viewer waits for an answer, in ms
+     * @param worth worth of a session
+     * @param once whether the set-up is paid for, so that it must not run twice
+     * @param floor lowest rung
+     * @param top highest rung
+     * @param scale factor on the rates of the ladder
+     * @param seats maximum number of sessions of one title on a front; 0 for no limit
      */
     public record DayClass(
             @Range(min = 0, max = 1) double share,
@@ -129,19 +140,19 @@
             @Default("1") @Range(min = 0.001) double scale,
             @Default("0") @Range(min = 0) int seats) {}
 
-    /** The ladder of rates: kB a second, and worth. */
+    /** Rates of the rungs in kB per second, and their worth. */
     public record Ladder(
             @Range(min = 1, max = 64) List<Double> kb,
             @Range(min = 1, max = 64) List<Double> worth) {}
 
-    /** What boxes tell, as the front's settings have it. */
+    /** Notes of boxes, as in the settings of the front. */
     public record Notes(
             @Range(min = 0) double lateMs,
             @Range(min = 100) double tellMs,
             @Range(min = 0) double stall,
             @Range(min = 0) double changeCostMs) {}
 
-    /** Figures of the rules, as the front's settings have them. */
+    /** Parameters of the rules, as in the settings of the front. */
     public record Rules(
             @Default("5") int maxAttempts,
             @Default("2000") double maxRetryAfterMs,
@@ -154,12 +165,12 @@
             @Default("null") Double attemptWindowMs) {}
 
     /**
-     * New sessions.
+     * Ordinary arrivals of viewers.
      *
-     * @param perS a second, on the average
-     * @param shape how they vary
-     * @param swing of a wave: so much above and below
-     * @param waveMs length of a wave
+     * @param perS mean number of arrivals per second
+     * @param shape how the rate varies over time
+     * @param swing relative amplitude of a wave
+     * @param waveMs period of a wave in ms
      */
     public record Arrivals(
             @Range(min = 0.01, max = 1000) double perS,
@@ -167,28 +178,28 @@
             @Default("0.4") @Range(min = 0, max = 1) double swing,
             @Default("30000") @Range(min = 1000) double waveMs) {}
 
-    /** How arrivals vary. */
+    /** How the arrival rate varies over time. */
     public enum Shape {
         STEADY,
         WAVE
     }
 
     /**
-     * What viewers do.
+     * Behaviour of viewers. A share is the share of viewers with that behaviour.
      *
-     * @param returns share that comes again after a break or refusal
-     * @param returnMs so much later: from, to
-     * @param tries at most
-     * @param honour share that waits out Retry-After
-     * @param leaves share that leaves while it waits for the answer
+     * @param returns probability of a retry after a refusal or a lost session
+     * @param returnMs minimum and maximum base delay of a retry in ms
+     * @param tries maximum number of session requests of a viewer
+     * @param honour share that waits at least for the time in Retry-After
+     * @param leaves share that leaves while waiting for an answer
      * @param doubles share that sends its token on two connections at once
-     * @param replays share that sends its token again on another connection once it plays
-     * @param low share that can't use the upper rungs
-     * @param frontNoticeMs goes on to a dead front for: from, to
-     * @param bearable share of its rate under which a viewer begins to leave
-     * @param waitForHall share whose devices, when their hall is cut off, try again the moment that it heals
-     * @param neverReads share that asks and reads nothing
-     * @param bola share whose players choose rungs by their buffer, the others by throughput
+     * @param replays share that sends its token on another connection after the session starts to play
+     * @param low share that cannot use the upper rungs
+     * @param frontNoticeMs minimum and maximum time in ms for which a viewer keeps using a stopped front
+     * @param bearable share of the media rate; when less is delivered, a viewer may leave
+     * @param waitForHall share whose devices wait while their hall is isolated and retry as soon as it is reachable
+     * @param neverReads share that requests segments and never reads them
+     * @param bola share whose players select rungs by buffer level (BOLA); the others select by throughput
      */
     public record Viewers(
             @Default("0.9") @Range(min = 0, max = 1) double returns,
@@ -212,10 +223,10 @@
             @Default("0.5") @Range(min = 0, max = 1) double bola) {}
 
     /**
-     * Lateness of the list.
+     * Delays of the registry's box list.
      *
-     * @param noticeMs of what boxes say themselves: from, to
-     * @param silentMs of boxes that went without a word: from, to
+     * @param noticeMs minimum and maximum delay in ms of changes that boxes announce
+     * @param silentMs minimum and maximum delay in ms until the loss of an unresponsive box is listed
      */
     public record Registry(
             @Default("[600, 2500]") @Range(min = 2, max = 2) List<Double> noticeMs,
@@ -224,12 +235,13 @@
             List<Double> silentMs) {}
 
     /**
-     * Something that goes wrong.
+     * A trouble to inject.
      *
-     * @param kind what
-     * @param atMs when
-     * @param forMs for how long
-     * @param part of the boxes, fronts, halls or viewers; a multiple of arrivals for burst and hot_key
+     * @param kind kind of trouble
+     * @param atMs start, in ms from the start of the day
+     * @param forMs duration in ms
+     * @param part share of the boxes, racks or fronts that are affected; for burst and hot_key the additional arrivals
+     *     as a multiple of the ordinary arrival rate
      */
     public record Trouble(
             Kind kind,
@@ -238,12 +250,12 @@
             @Default("0.2") @Range(min = 0, max = 20) double part) {}
 
     /**
-     * A flash crowd at a final whistle: a jump that dies away.
+     * A flash crowd, as at the final whistle of a match: the arrival rate jumps and then decays exponentially.
      *
-     * @param atMs when
-     * @param perS new sessions a second at its peak, on top of the others
-     * @param fadeMs it falls to a third in this time
-     * @param title number of the title that it is for
+     * @param atMs start, in ms from the start of the day
+     * @param perS additional arrivals per second at the peak
+     * @param fadeMs time constant of the decay in ms: the rate falls to about a third in this time
+     * @param title number of the title that these viewers request
      */
     public record Flash(
             @Range(min = 0) double atMs,
@@ -252,66 +264,82 @@
             @Default("0") @Range(min = 0) int title) {}
 
     /**
-     * How far halls are from each other, one way.
+     * One-way latency between halls.
      *
-     * @param sameMs within one
-     * @param crossMs between two
+     * @param sameMs latency within a hall in ms
+     * @param crossMs latency between two halls in ms
      */
     public record Distances(
             @Default("0.2") @Range(min = 0, max = 1000) double sameMs,
             @Default("1") @Range(min = 0, max = 1000) double crossMs) {}
 
-    /** The same day with another number of fronts. */
-    public Day withFronts(int number) {
+    /** Returns a copy of this day with another number of fronts. */
+    public Day withFronts(int count) {
         return new Day(
-                seed, lengthMs, tailMs, byteScale, zones, number, boxes, titles, classes, ladder, notes, rules,
-                arrivals, flashes, distances, viewers, registry, troubles);
+                seed, lengthMs, tailMs, byteScale, zones, count, boxes, titles, classes, ladder, notes, rules, arrivals,
+                flashes, distances, viewers, registry, troubles);
     }
 
-    /** The same day with other boxes. */
-    public Day withBoxes(Boxes other) {
+    /** Returns a copy of this day with other boxes. */
+    public Day withBoxes(Boxes newBoxes) {
         return new Day(
-                seed, lengthMs, tailMs, byteScale, zones, fronts, other, titles, classes, ladder, notes, rules,
+                seed, lengthMs, tailMs, byteScale, zones, fronts, newBoxes, titles, classes, ladder, notes, rules,
                 arrivals, flashes, distances, viewers, registry, troubles);
     }
 
-    /** The same day with other notes. */
-    public Day withNotes(Notes other) {
+    /** Returns a copy of this day with other notes. */
+    public Day withNotes(Notes newNotes) {
         return new Day(
-                seed, lengthMs, tailMs, byteScale, zones, fronts, boxes, titles, classes, ladder, other, rules,
+                seed, lengthMs, tailMs, byteScale, zones, fronts, boxes, titles, classes, ladder, newNotes, rules,
                 arrivals, flashes, distances, viewers, registry, troubles);
     }
 
-    /** The same day with other rules. */
-    public Day withRules(Rules other) {
+    /** Returns a copy of this day with other rules. */
+    public Day withRules(Rules newRules) {
         return new Day(
-                seed, lengthMs, tailMs, byteScale, zones, fronts, boxes, titles, classes, ladder, notes, other,
+                seed, lengthMs, tailMs, byteScale, zones, fronts, boxes, titles, classes, ladder, notes, newRules,
                 arrivals, flashes, distances, viewers, registry, troubles);
     }
 
-    /** The same day with another registry. */
-    public Day withRegistry(Registry other) {
+    /** Returns a copy of this day with other registry settings. */
+    public Day withRegistry(Registry newRegistry) {
         return new Day(
-                seed, lengthMs, tailMs, byteScale, zones, fronts, boxes, titles, classes, ladder, notes, rules,
-                arrivals, flashes, distances, viewers, other, troubles);
+                seed,
+                lengthMs,
+                tailMs,
+                byteScale,
+                zones,
+                fronts,
+                boxes,
+                titles,
+                classes,
+                ladder,
+                notes,
+                rules,
+                arrivals,
+                flashes,
+                distances,
+                viewers,
+                newRegistry,
+                troubles);
     }
 
-    /** Checks what fields must be to each other. */
+    /** Checks constraints between fields. */
     public Day {
         if (ladder.kb().size() != ladder.worth().size()) {
             throw new IllegalArgumentException("ladder.kb and ladder.worth must have the same length");
         }
         if (titles.copies().get(1) > boxes.count()) {
-            throw new IllegalArgumentException("titles.copies must not be above boxes.count");
+            throw new IllegalArgumentException("titles.copies must not exceed boxes.count");
         }
         for (Flash flash : flashes) {
             if (flash.title() >= titles.count()) {
-                throw new IllegalArgumentException("flashes: there is no title " + flash.title());
+                throw new IllegalArgumentException("flashes: title does not exist: " + flash.title());
             }
         }
         double shares = classes.values().stream().mapToDouble(DayClass::share).sum();
         if (Math.abs(shares - 1) > 0.001) {
-            throw new IllegalArgumentException("classes' shares must add up to 1, they give " + shares);
+            throw new IllegalArgumentException("the shares of all classes must add up to 1, but the sum is " + shares);
         }
     }
 }
--- a/day/src/main/java/spanrill/day/DayPlan.java
+++ b/day/src/main/java/spanrill/day/DayPlan.java
@@ -16,39 +16,40 @@
 import spanrill.model.trouble.TroublePlan;
 
 /**
- * Draws a day's titles, viewers and effects of troubles from its seed: the same day and seed, the same
- * plan.
+ * Draws the title placements, the arrivals and the effects of troubles of a day from a seed. The same day and seed give
+ * the same plan.
  */
 public final class DayPlan {
     private final Day day;
     private final long seed;
 
-    /** A plan of a day, by a seed that may be another than the day's own. */
+    /** Creates a plan of a day; the seed may differ from the seed in the day file. */
     public DayPlan(Day day, long seed) {
         this.day = day;
         this.seed = seed;
     }
 
-    /** First cell and copies of each title. */
+    /** Returns for each title an array of the first cell that holds the title and the number of copies. */
     public List<int[]> titlePlacements() {
         UniformRandomProvider random = RandomStreams.of(seed, "placement");
-        List<int[]> placed = new ArrayList<>();
+        List<int[]> placements = new ArrayList<>();
         for (int i = 0; i < day.titles().count(); i++) {
-            int from = day.titles().copies().get(0);
-            int copies = from + random.nextInt(day.titles().copies().get(1) - from + 1);
-            placed.add(new int[] {random.nextInt(day.boxes().count()), copies});
+            int minCopies = day.titles().copies().get(0);
+            int copies = minCopies + random.nextInt(day.titles().copies().get(1) - minCopies + 1);
+            placements.add(new int[] {random.nextInt(day.boxes().count()), copies});
         }
-        return placed;
+        return placements;
     }
 
-    /** What the troubles do. */
+    /** Returns the effects of all troubles, ordered by time. */
     public List<Effect> effects() {
         return effects(day.troubles().size());
     }
 
-    private List<Effect> effects(int first) {
-        List<Trouble> troubles = day.troubles().subList(0, first).stream()
-                .map(t -> new Trouble(t.kind(), t.atMs(), t.forMs(), t.part()))
+    /** Returns the effects of the first {@code count} troubles. */
+    private List<Effect> effects(int count) {
+        List<Trouble> troubles = day.troubles().subList(0, count).stream()
+                .map(trouble -> new Trouble(trouble.kind(), trouble.atMs(), trouble.forMs(), trouble.part()))
                 .toList();
         return TroublePlan.computeEffects(
                 troubles,
@@ -57,91 +58,99 @@
                 seed);
     }
 
-    /** On how many boxes, racks, halls or fronts a trouble acts when it begins. */
+    /** Returns the number of boxes, racks, halls or fronts that a trouble affects at its start. */
     public long initialTargetCount(int trouble) {
-        double at = day.troubles().get(trouble).atMs();
-        return effects(trouble + 1).stream().filter(e -> e.atMs() == at).count()
-                - effects(trouble).stream().filter(e -> e.atMs() == at).count();
+        double startMs = day.troubles().get(trouble).atMs();
+        return effects(trouble + 1).stream()
+                        .filter(effect -> effect.atMs() == startMs)
+                        .count()
+                - effects(trouble).stream()
+                        .filter(effect -> effect.atMs() == startMs)
+                        .count();
     }
 
-    /** All who come, in order. */
+    /** Returns all arrivals, ordered by time and numbered from 0. */
     public List<Arrival> arrivals() {
-        List<Arrival> all = new ArrayList<>();
-        Day.Arrivals ordinary = day.arrivals();
-        crowd(
-                all,
+        List<Arrival> arrivals = new ArrayList<>();
+        Day.Arrivals baseline = day.arrivals();
+        addArrivals(
+                arrivals,
                 "arrivals",
-                ordinary.shape() == Day.Shape.WAVE
-                        ? ArrivalRate.wave(ordinary.perS(), ordinary.swing(), ordinary.waveMs())
-                        : ArrivalRate.constant(ordinary.perS()),
+                baseline.shape() == Day.Shape.WAVE
+                        ? ArrivalRate.wave(baseline.perS(), baseline.swing(), baseline.waveMs())
+                        : ArrivalRate.constant(baseline.perS()),
                 -1);
         for (int i = 0; i < day.troubles().size(); i++) {
             Day.Trouble trouble = day.troubles().get(i);
             if (trouble.kind() == Kind.BURST || trouble.kind() == Kind.HOT_KEY) {
-                int hot = trouble.kind() == Kind.HOT_KEY
+                int title = trouble.kind() == Kind.HOT_KEY
                         ? RandomStreams.of(seed, "hot" + i).nextInt(day.titles().count())
                         : -1;
-                crowd(
-                        all,
+                addArrivals(
+                        arrivals,
                         "crowd" + i,
                         ArrivalRate.burst(
-                                ordinary.perS() * trouble.part(), trouble.atMs(), trouble.atMs() + trouble.forMs()),
-                        hot);
+                                baseline.perS() * trouble.part(), trouble.atMs(), trouble.atMs() + trouble.forMs()),
+                        title);
             }
         }
         for (int i = 0; i < day.flashes().size(); i++) {
             Day.Flash flash = day.flashes().get(i);
-            crowd(all, "flash" + i, ArrivalRate.flashCrowd(flash.perS(), flash.atMs(), flash.fadeMs()), flash.title());
+            addArrivals(
+                    arrivals,
+                    "flash" + i,
+                    ArrivalRate.flashCrowd(flash.perS(), flash.atMs(), flash.fadeMs()),
+                    flash.title());
         }
-        all.sort(Comparator.comparingDouble(Arrival::atMs));
-        List<Arrival> numbered = new ArrayList<>(all.size());
-        all.forEach(a -> numbered.add(new Arrival(a.atMs(), numbered.size(), a.traits())));
+        arrivals.sort(Comparator.comparingDouble(Arrival::atMs));
+        List<Arrival> numbered = new ArrayList<>(arrivals.size());
+        arrivals.forEach(arrival -> numbered.add(new Arrival(arrival.atMs(), numbered.size(), arrival.traits())));
         return numbered;
     }
 
-    /** Adds a crowd; {@code title} -1: each for a title of its own choice. */
-    private void crowd(List<Arrival> all, String purpose, ArrivalRate rate, int title) {
+    /** Adds arrivals for one title, or for a title drawn per viewer if {@code title} is -1. */
+    private void addArrivals(List<Arrival> arrivals, String purpose, ArrivalRate rate, int title) {
         UniformRandomProvider random = RandomStreams.of(seed, purpose);
         TitleSampler titles = new TitleSampler(
                 RandomStreams.of(seed, purpose + " titles"),
                 day.titles().count(),
                 day.titles().zipf());
-        for (double at : PoissonArrivals.times(random, rate, 0, day.lengthMs())) {
-            all.add(new Arrival(at, 0, traits(random, title < 0 ? titles.sample() : title)));
+        for (double atMs : PoissonArrivals.times(random, rate, 0, day.lengthMs())) {
+            arrivals.add(new Arrival(atMs, 0, traits(random, title < 0 ? titles.sample() : title)));
         }
     }
 
     private ViewerTraits traits(UniformRandomProvider random, int title) {
         double draw = random.nextDouble();
-        String cls = null;
+        String serviceClass = null;
         for (Map.Entry<String, Day.DayClass> entry : day.classes().entrySet()) {
-            cls = entry.getKey();
+            serviceClass = entry.getKey();
             draw -= entry.getValue().share();
             if (draw < 0) {
                 break;
             }
         }
-        Day.DayClass type = day.classes().get(cls);
-        Day.Viewers who = day.viewers();
-        int highest = day.ladder().kb().size() - 1;
-        int top = random.nextDouble() < who.low() ? Math.max(type.floor(), highest / 2) : highest;
-        double leaves = random.nextDouble() < who.leaves() ? 5 + random.nextDouble() * 400 : -1;
+        Day.DayClass settings = day.classes().get(serviceClass);
+        Day.Viewers viewers = day.viewers();
+        int highestRung = day.ladder().kb().size() - 1;
+        int topRung = random.nextDouble() < viewers.low() ? Math.max(settings.floor(), highestRung / 2) : highestRung;
+        double leaveAfterMs = random.nextDouble() < viewers.leaves() ? 5 + random.nextDouble() * 400 : -1;
         return new ViewerTraits(
-                cls,
+                serviceClass,
                 title,
                 random.nextInt(day.zones().size()),
-                RandomStreams.uniform(random, type.sessionMs()),
-                top,
-                type.patienceMs(),
-                leaves,
-                random.nextDouble() < who.doubles(),
-                random.nextDouble() < who.replays(),
-                random.nextDouble() < who.honour(),
-                who.returns(),
-                who.tries(),
-                who.bearable(),
-                random.nextDouble() < who.neverReads(),
-                random.nextDouble() < who.bola(),
+                RandomStreams.uniform(random, settings.sessionMs()),
+                topRung,
+                settings.patienceMs(),
+                leaveAfterMs,
+                random.nextDouble() < viewers.doubles(),
+                random.nextDouble() < viewers.replays(),
+                random.nextDouble() < viewers.honour(),
+                viewers.returns(),
+                viewers.tries(),
+                viewers.bearable(),
+                random.nextDouble() < viewers.neverReads(),
+                random.nextDouble() < viewers.bola(),
                 random.nextLong());
     }
 }
--- a/day/src/main/java/spanrill/day/FleetPlan.java
+++ b/day/src/main/java/spanrill/day/FleetPlan.java
@@ -6,44 +6,46 @@
 import spanrill.model.RandomStreams;
 
 /**
- * The fleet that a day's seed draws. The rack of a box is its cell mod the number of racks, and a rack stands
- * in one hall.
+ * Boxes and uplinks of a fleet, drawn from the seed of a day. The rack of a box is its cell modulo the number of racks;
+ * all boxes of a rack are in one hall.
  *
- * @param boxes by cell
- * @param uplinksKbytesPerS uplink of each rack, kB a second, without troubles
+ * @param boxes boxes in order of their cells
+ * @param uplinksKbytesPerS uplink capacity of each rack in kB per second, without troubles
  */
 public record FleetPlan(List<Box> boxes, List<Double> uplinksKbytesPerS) {
     /**
-     * A box.
+     * Planned properties of a box.
      *
-     * @param id its name
-     * @param cell its cell, also its number
-     * @param zone hall that it stands in
-     * @param linkKbytesPerS its link, kB a second, without troubles
+     * @param id name of the box
+     * @param cell cell of the box, which is also its number
+     * @param rack number of the rack
+     * @param zone name of the hall
+     * @param linkKbytesPerS link capacity in kB per second, without troubles
      */
     public record Box(String id, int cell, int rack, String zone, double linkKbytesPerS) {}
 
-    /** The fleet of a day; the same day and seed, the same fleet. */
+    /** Draws the fleet of a day. The same day and seed give the same fleet. */
     public static FleetPlan of(Day day, long seed) {
         UniformRandomProvider random = RandomStreams.of(seed, "fleet");
-        Day.Boxes all = day.boxes();
-        double[] rackLinks = new double[all.racks()];
+        Day.Boxes settings = day.boxes();
+        double[] linkSums = new double[settings.racks()];
         List<Box> boxes = new ArrayList<>();
-        for (int i = 0; i < all.count(); i++) {
-            int rack = i % all.racks();
-            double link = all.linkKb() * (1 + all.linkSpread() * (2 * random.nextDouble() - 1));
-            rackLinks[rack] += link;
+        for (int i = 0; i < settings.count(); i++) {
+            int rack = i % settings.racks();
+            double link = settings.linkKb() * (1 + settings.linkSpread() * (2 * random.nextDouble() - 1));
+            linkSums[rack] += link;
             boxes.add(new Box(
                     "box-" + i, i, rack, day.zones().get(rack % day.zones().size()), link));
         }
         List<Double> uplinks = new ArrayList<>();
-        for (double links : rackLinks) {
-            uplinks.add(links * all.uplinkShare() * (1 + all.uplinkSpread() * (2 * random.nextDouble() - 1)));
+        for (double linkSum : linkSums) {
+            uplinks.add(
+                    linkSum * settings.uplinkShare() * (1 + settings.uplinkSpread() * (2 * random.nextDouble() - 1)));
         }
         return new FleetPlan(List.copyOf(boxes), List.copyOf(uplinks));
     }
 
-    /** All links together, kB a second. */
+    /** Returns the sum of all link capacities in kB per second. */
     public double totalLinkKbytesPerS() {
         return boxes.stream().mapToDouble(Box::linkKbytesPerS).sum();
     }
--- a/day/src/main/java/spanrill/day/Forecast.java
+++ b/day/src/main/java/spanrill/day/Forecast.java
@@ -8,26 +8,28 @@
 import spanrill.model.trouble.Effect;
 
 /**
- * What a day would ask of its fleet, were nobody refused and did everybody stay as long as wanted, beside
- * what the fleet gives with the day's troubles on it: known before a second of it is played.
+ * Forecast of a day: the demand if nobody were refused and every viewer stayed as long as planned, and the capacity of
+ * the fleet under the day's troubles. It is computed from the plan of the day, without a run.
  *
- * @param steps one for each {@code stepMs} of the day
- * @param hottest the title that is asked for most
+ * @param stepMs length of a step in ms
+ * @param steps consecutive steps that cover the day
+ * @param hottest the most requested title
  */
 public record Forecast(double stepMs, List<Step> steps, HottestTitle hottest) {
     /**
-     * One step of the day: the mean over it for arrivals, the state at its end for what is wanted, and the
-     * least over it for what is given.
+     * One step of the day. Arrivals are the mean over the step, the demand is that at the end of the step, and the
+     * capacity is the minimum during the step.
      *
-     * @param fromMs when it begins
-     * @param arrivalsPerS viewers who come, a second
-     * @param sessions sessions wanted at once
-     * @param floorKbytesPerS their rates at their floors, kB a second
-     * @param topKbytesPerS their rates at the highest rungs that they can use
-     * @param places streams that boxes which run can hold
-     * @param linksKbytesPerS what their links give
-     * @param uplinksKbytesPerS what racks let through: their uplinks, or less where their boxes' links give less
-     * @param frontsUp fronts that run
+     * @param fromMs start of the step, in ms from the start of the day
+     * @param arrivalsPerS arriving viewers per second
+     * @param sessions number of concurrent sessions demanded
+     * @param floorKbytesPerS rate of these sessions at their floor rungs, in kB per second
+     * @param topKbytesPerS rate of these sessions at the highest rungs that they can use, in kB per second
+     * @param places maximum number of streams on the running boxes
+     * @param linksKbytesPerS link capacity of the running boxes, in kB per second
+     * @param uplinksKbytesPerS capacity of the racks in kB per second: per rack the uplink capacity, or the sum of the
+     *     link capacities if that is lower
+     * @param frontsUp number of running fronts
      */
     public record Step(
             double fromMs,
@@ -40,7 +42,8 @@
             double uplinksKbytesPerS,
             int frontsUp) {
         /**
-         * What is asked at the floor over what gets through; above 1 some must be refused, whatever is done.
+         * Returns the demand at the floor rungs divided by the rack capacity. Above 1 some viewers have to be refused
+         * under any policy.
          */
         public double floorUtilization() {
             return uplinksKbytesPerS > 0
@@ -48,81 +51,82 @@
                     : sessions > 0 ? Double.POSITIVE_INFINITY : 0;
         }
 
-        /** Sessions wanted over places. */
+        /** Returns the number of demanded sessions divided by the number of places. */
         public double placeUtilization() {
             return places > 0 ? sessions / places : sessions > 0 ? Double.POSITIVE_INFINITY : 0;
         }
     }
 
     /**
-     * A title.
+     * The most requested title.
      *
-     * @param title its number
-     * @param share of all who come
-     * @param maxSessions sessions of it wanted at once, at most
-     * @param places streams that its holders can hold together
+     * @param title number of the title
+     * @param share share of all arriving viewers who request the title
+     * @param maxSessions maximum number of concurrent sessions of the title
+     * @param places maximum number of streams on the boxes that hold the title
      */
     public record HottestTitle(int title, double share, int maxSessions, double places) {}
 
-    /** Works a day out. */
+    /** Computes the forecast of a day in steps of {@code stepMs}. */
     public static Forecast compute(Day day, long seed, double stepMs) {
         DayPlan plan = new DayPlan(day, seed);
         List<Arrival> arrivals = plan.arrivals();
-        Fleet fleet = new Fleet(day, FleetPlan.of(day, seed));
+        FleetState fleet = new FleetState(day, FleetPlan.of(day, seed));
         List<Effect> effects = plan.effects();
-        int next = 0;
+        int nextEffect = 0;
         List<Step> steps = new ArrayList<>();
-        for (double from = 0; from < day.lengthMs() + day.tailMs(); from += stepMs) {
-            double to = from + stepMs;
-            double begin = from;
-            Gives least = fleet.gives();
-            while (next < effects.size() && effects.get(next).atMs() < to) {
-                double at = effects.get(next).atMs();
-                while (next < effects.size() && effects.get(next).atMs() == at) {
-                    fleet.take(effects.get(next++));
+        for (double fromMs = 0; fromMs < day.lengthMs() + day.tailMs(); fromMs += stepMs) {
+            double endMs = fromMs + stepMs;
+            double startMs = fromMs;
+            Capacity minCapacity = fleet.capacity();
+            while (nextEffect < effects.size() && effects.get(nextEffect).atMs() < endMs) {
+                double atMs = effects.get(nextEffect).atMs();
+                while (nextEffect < effects.size() && effects.get(nextEffect).atMs() == atMs) {
+                    fleet.apply(effects.get(nextEffect++));
                 }
-                least = least.least(fleet.gives());
+                minCapacity = minCapacity.min(fleet.capacity());
             }
             int sessions = 0;
-            double floor = 0;
-            double top = 0;
+            double floorRate = 0;
+            double topRate = 0;
             for (Arrival arrival : arrivals) {
-                double at = arrival.atMs();
-                if (at < to && at + arrival.traits().watchMs() >= to) {
-                    Day.DayClass type = day.classes().get(arrival.traits().serviceClass());
+                double arrivedMs = arrival.atMs();
+                if (arrivedMs < endMs && arrivedMs + arrival.traits().watchMs() >= endMs) {
+                    Day.DayClass settings = day.classes().get(arrival.traits().serviceClass());
                     sessions++;
-                    floor += day.ladder().kb().get(type.floor()) * type.scale();
-                    int highest = Math.min(
+                    floorRate += day.ladder().kb().get(settings.floor()) * settings.scale();
+                    int topRung = Math.min(
                             arrival.traits().topRung(),
-                            Math.min(type.top(), day.ladder().kb().size() - 1));
-                    top += day.ladder().kb().get(highest) * type.scale();
+                            Math.min(settings.top(), day.ladder().kb().size() - 1));
+                    topRate += day.ladder().kb().get(topRung) * settings.scale();
                 }
             }
-            long come = arrivals.stream()
-                    .filter(a -> a.atMs() >= begin && a.atMs() < to)
+            long arrived = arrivals.stream()
+                    .filter(arrival -> arrival.atMs() >= startMs && arrival.atMs() < endMs)
                     .count();
             steps.add(new Step(
-                    from,
-                    come * 1000 / stepMs,
+                    fromMs,
+                    arrived * 1000 / stepMs,
                     sessions,
-                    floor,
-                    top,
-                    least.places(),
-                    least.linksKb(),
-                    least.throughKb(),
-                    least.frontsUp()));
+                    floorRate,
+                    topRate,
+                    minCapacity.places(),
+                    minCapacity.linksKbytesPerS(),
+                    minCapacity.uplinksKbytesPerS(),
+                    minCapacity.frontsUp()));
         }
         return new Forecast(stepMs, steps, hottest(day, plan, arrivals));
     }
 
     private static HottestTitle hottest(Day day, DayPlan plan, List<Arrival> arrivals) {
-        int[] asked = new int[day.titles().count()];
-        arrivals.forEach(a -> asked[a.traits().title()]++);
-        int hot = 0;
-        for (int i = 1; i < asked.length; i++) {
-            hot = asked[i] > asked[hot] ? i : hot;
+        int[] requests = new int[day.titles().count()];
+        arrivals.forEach(arrival -> requests[arrival.traits().title()]++);
+        int mostRequested = 0;
+        for (int i = 1; i < requests.length; i++) {
+            mostRequested = requests[i] > requests[mostRequested] ? i : mostRequested;
         }
-        int title = hot;
+        int title = mostRequested;
+        // Each element holds a time and the change of the number of sessions at that time.
         List<double[]> changes = new ArrayList<>();
         for (Arrival arrival : arrivals) {
             if (arrival.traits().title() == title) {
@@ -131,32 +135,32 @@
             }
         }
         changes.sort((a, b) -> a[0] != b[0] ? Double.compare(a[0], b[0]) : Double.compare(a[1], b[1]));
-        int now = 0;
-        int most = 0;
+        int sessions = 0;
+        int maxSessions = 0;
         for (double[] change : changes) {
-            now += (int) change[1];
-            most = Math.max(most, now);
+            sessions += (int) change[1];
+            maxSessions = Math.max(maxSessions, sessions);
         }
         return new HottestTitle(
                 title,
-                arrivals.isEmpty() ? 0 : (double) asked[title] / arrivals.size(),
-                most,
+                arrivals.isEmpty() ? 0 : (double) requests[title] / arrivals.size(),
+                maxSessions,
                 plan.titlePlacements().get(title)[1] * day.boxes().places());
     }
 
-    /** What a fleet gives at a time. */
-    private record Gives(double places, double linksKb, double throughKb, int frontsUp) {
-        Gives least(Gives other) {
-            return new Gives(
+    /** Capacity of a fleet at one time; rates in kB per second. */
+    private record Capacity(double places, double linksKbytesPerS, double uplinksKbytesPerS, int frontsUp) {
+        Capacity min(Capacity other) {
+            return new Capacity(
                     Math.min(places, other.places),
-                    Math.min(linksKb, other.linksKb),
-                    Math.min(throughKb, other.throughKb),
+                    Math.min(linksKbytesPerS, other.linksKbytesPerS),
+                    Math.min(uplinksKbytesPerS, other.uplinksKbytesPerS),
                     Math.min(frontsUp, other.frontsUp));
         }
     }
 
-    /** What runs, and what it gives, as the troubles go on. */
-    private static final class Fleet {
+    /** State of the fleet while the effects of troubles are applied in order of time. */
+    private static final class FleetState {
         private final Day day;
         private final FleetPlan plan;
         private final double[] linkShare;
@@ -164,7 +168,7 @@
         private final Set<Integer> boxesDown = new HashSet<>();
         private final Set<Integer> frontsDown = new HashSet<>();
 
-        Fleet(Day day, FleetPlan plan) {
+        FleetState(Day day, FleetPlan plan) {
             this.day = day;
             this.plan = plan;
             linkShare = new double[plan.boxes().size()];
@@ -173,7 +177,7 @@
             Arrays.fill(uplinkShare, 1);
         }
 
-        void take(Effect effect) {
+        void apply(Effect effect) {
             if (effect instanceof Effect.BoxStops e) {
                 boxesDown.add(e.box());
             } else if (effect instanceof Effect.BoxHangs e) {
@@ -197,15 +201,16 @@
             }
         }
 
-        Gives gives() {
-            return new Gives(places(), links(), through(), day.fronts() - frontsDown.size());
+        Capacity capacity() {
+            return new Capacity(places(), linksKbytesPerS(), uplinksKbytesPerS(), day.fronts() - frontsDown.size());
         }
 
         private double places() {
             return (plan.boxes().size() - boxesDown.size()) * day.boxes().places();
         }
 
-        private double[] byRack() {
+        /** Sums the link capacities of the running boxes of each rack. */
+        private double[] linksByRack() {
             double[] racks = new double[uplinkShare.length];
             for (FleetPlan.Box box : plan.boxes()) {
                 if (!boxesDown.contains(box.cell())) {
@@ -215,12 +220,12 @@
             return racks;
         }
 
-        private double links() {
-            return Arrays.stream(byRack()).sum();
+        private double linksKbytesPerS() {
+            return Arrays.stream(linksByRack()).sum();
         }
 
-        private double through() {
-            double[] racks = byRack();
+        private double uplinksKbytesPerS() {
+            double[] racks = linksByRack();
             double sum = 0;
             for (int rack = 0; rack < racks.length; rack++) {
                 sum += Math.min(racks[rack], plan.uplinksKbytesPerS().get(rack) * uplinkShare[rack]);
--- a/day/src/main/java/spanrill/day/package-info.java
+++ b/day/src/main/java/spanrill/day/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A day: the file that states it, and what its seed draws before it begins: the fleet's links, who comes,
- * what goes wrong, and what that would ask of the fleet. Rehearsals and the emulator play the same plan.
+ * Day files and what is derived from a day and its seed before the run: link capacities of the fleet, arrivals of
+ * viewers, effects of troubles, and a forecast of demand against capacity. Rehearsals and the emulator run the same
+ * plan.
  */
 package spanrill.day;
--- a/day/src/test/java/spanrill/day/ForecastTest.java
+++ b/day/src/test/java/spanrill/day/ForecastTest.java
@@ -14,7 +14,7 @@
     @TempDir
     Path folder;
 
-    private Day day(String more) throws Exception {
+    private Day readDay(String additionalFields) throws Exception {
         Path file = folder.resolve("day.jsonnet");
         Files.writeString(
                 file,
@@ -26,41 +26,43 @@
                         + "  boxes: { count: 10, racks: 2, places: 20, linkKb: 1000, uplinkShare: 0.5,\n"
                         + "    coldMs: 5000, coldShare: 0.5 },\n"
                         + "  titles: { count: 5, copies: [2, 2], zipf: 0 }, arrivals: { perS: 20 },\n"
-                        + "  viewers: { low: 0 }, " + more + " }");
+                        + "  viewers: { low: 0 }, " + additionalFields + " }");
         return Settings.read(file, Day.class);
     }
 
-    /** Little's law: 20 a second who stay 10 s are 200 at once. */
+    /** By Little's law, 20 arrivals per second that stay for 10 s give 200 concurrent sessions. */
     @Test
-    void whatIsWantedFollowsFromArrivalsAndStays() throws Exception {
-        Forecast forecast = Forecast.compute(day(""), 3, 10_000);
+    void demandFollowsFromArrivalRateAndSessionLength() throws Exception {
+        Forecast forecast = Forecast.compute(readDay(""), 3, 10_000);
         assertEquals(20, forecast.steps().size());
-        List<Forecast.Step> full = forecast.steps().subList(1, 20);
+        List<Forecast.Step> steadySteps = forecast.steps().subList(1, 20);
         assertEquals(
-                200, full.stream().mapToInt(Forecast.Step::sessions).average().orElse(0), 12);
-        for (Forecast.Step step : full) {
+                200,
+                steadySteps.stream().mapToInt(Forecast.Step::sessions).average().orElse(0),
+                12);
+        for (Forecast.Step step : steadySteps) {
             assertEquals(step.sessions() * 200.0, step.floorKbytesPerS(), 1e-6);
             assertEquals(step.sessions() * 800.0, step.topKbytesPerS(), 1e-6);
             assertEquals(10_000, step.linksKbytesPerS(), 1e-6);
             assertEquals(5000, step.uplinksKbytesPerS(), 1e-6);
             assertEquals(200, step.places());
-            assertTrue(step.floorUtilization() > 4, "floors ask for 40 MB/s of 5");
+            assertTrue(step.floorUtilization() > 4, "floor rungs demand 40 MB/s of a capacity of 5 MB/s");
         }
         assertEquals(0.2, forecast.hottest().share(), 0.03);
         assertEquals(40, forecast.hottest().places());
     }
 
     @Test
-    void troublesTakeWhatTheyTakeWhileTheyLast() throws Exception {
-        Day day = day("troubles: [\n"
+    void troublesReduceTheCapacityOnlyWhileTheyLast() throws Exception {
+        Day day = readDay("troubles: [\n"
                 + "  { kind: 'crash', atMs: 42000, forMs: 3000, part: 0.4 },\n"
                 + "  { kind: 'shared_slow', atMs: 42000, forMs: 30000, part: 0.5 },\n"
                 + "  { kind: 'balancer_crash', atMs: 101000, forMs: 5000, part: 0.5 }]");
         List<Forecast.Step> steps = Forecast.compute(day, 3, 10_000).steps();
-        assertEquals(120, steps.get(4).places(), "four boxes were down for a part of it");
+        assertEquals(120, steps.get(4).places(), "four boxes are down for a part of the step");
         assertEquals(6000, steps.get(4).linksKbytesPerS(), 1e-6);
         assertEquals(200, steps.get(5).places());
-        assertEquals(3750, steps.get(5).uplinksKbytesPerS(), 1e-6, "one of two uplinks at half");
+        assertEquals(3750, steps.get(5).uplinksKbytesPerS(), 1e-6, "one of two uplinks has half its capacity");
         assertEquals(5000, steps.get(9).uplinksKbytesPerS(), 1e-6);
         assertEquals(2, steps.get(10).frontsUp());
         assertEquals(4, steps.get(11).frontsUp());
--- a/model/src/main/java/spanrill/model/box/BoxProcess.java
+++ b/model/src/main/java/spanrill/model/box/BoxProcess.java
@@ -8,138 +8,142 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One life of a box's process: which set-ups it takes, which keys it knows, and when it is pushed over while
- * it is cold. Whoever moves its bytes asks it; it moves none. A key that was called off before its work was
- * done keeps a tombstone, so that it never begins; one that ran is remembered as such, so that only what
- * never began is told as "did not run".
+ * One run of a box's process: decides which set-ups are accepted, keeps the attempt keys, and detects when set-ups
+ * overload a cold process. It transfers no bytes itself; its caller does.
+ *
+ * <p>A key that is cancelled before its set-up is complete leaves a tombstone, so that it never starts to play. Keys
+ * that have played are remembered as such, so that "did not run" is reported only for attempts that never played.
  */
 public final class BoxProcess {
-    /** Sends that a cold box bears on top of its pace. */
-    private static final double SPARE_SENDS = 2;
+    /** Set-ups in a window that a cold box tolerates beyond its pace. */
+    private static final double COLD_BURST_ALLOWANCE = 2;
 
-    private static final int MOST_REMEMBERED = 20_000;
+    private static final int MAX_ENDED_KEYS = 20_000;
 
-    /** What it does with a set-up. */
+    /** How the box handles a set-up. */
     public sealed interface SetUpDecision {
-        /** It falls over: its process dies. */
+        /** The set-up overloads the cold process, which crashes. */
         record Crashes() implements SetUpDecision {}
 
-        /** It knows the key already, called off or under way: this set-up never begins. */
+        /** The key is known already (in progress, playing, ended or cancelled): this set-up is not started. */
         record AlreadyKnown() implements SetUpDecision {}
 
-        /** Turned away unseen, with the reason on the wire. */
+        /** The set-up is rejected without any work, with the reason as sent on the wire. */
         record Rejected(String reason) implements SetUpDecision {}
 
-        /** It works on it for so long, then {@link #begins} says whether it plays. */
+        /** The set-up takes {@code workMs}; {@link #finishSetUp} then returns whether the session plays. */
         record Accepted(double workMs) implements SetUpDecision {}
     }
 
-    private final BoxParameters rules;
+    private final BoxParameters parameters;
     private final UniformRandomProvider random;
     private final double startedAt;
-    private final ArrayDeque<Double> coldSends = new ArrayDeque<>();
+    private final ArrayDeque<Double> recentColdSetUps = new ArrayDeque<>();
     private final Set<String> settingUp = new HashSet<>();
     private final Set<String> playing = new HashSet<>();
-    /** Keys that are over, by whether they ran. */
-    private final Map<String, Boolean> over = new LinkedHashMap<>() {
+    /** Ended and cancelled keys, each with whether it has played. */
+    private final Map<String, Boolean> endedKeys = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_ENDED_KEYS;
         }
     };
 
     private boolean draining;
 
     /**
-     * A process.
+     * Creates a process.
      *
-     * @param startedAt when it started cold; negative infinity when it is long warm
+     * @param startedAt time of the cold start in ms; negative infinity for a process that is warm
      */
-    public BoxProcess(BoxParameters rules, double startedAt, UniformRandomProvider random) {
-        this.rules = rules;
+    public BoxProcess(BoxParameters parameters, double startedAt, UniformRandomProvider random) {
+        this.parameters = parameters;
         this.startedAt = startedAt;
         this.random = random;
     }
 
     /**
-     * A set-up came.
+     * Handles a set-up.
      *
-     * @param linkUse what its link is asked for over what it gives
-     * @param slow its work takes so many times as long
+     * @param linkUtilization requested rate on the link divided by its capacity
+     * @param slowdown factor by which the set-up takes longer than usual
      */
-    public SetUpDecision setUp(double now, String key, double linkUse, double slow) {
-        if (pushedOver(now)) {
+    public SetUpDecision setUp(double now, String key, double linkUtilization, double slowdown) {
+        if (overloadsColdProcess(now)) {
             return new SetUpDecision.Crashes();
         }
-        if (over.containsKey(key) || settingUp.contains(key) || playing.contains(key)) {
+        if (endedKeys.containsKey(key) || settingUp.contains(key) || playing.contains(key)) {
             return new SetUpDecision.AlreadyKnown();
         }
         String reason = draining
                 ? "draining"
-                : inflight() >= rules.places() ? "places" : linkUse > rules.maxLinkUtilization() ? "link" : null;
+                : inflight() >= parameters.places()
+                        ? "places"
+                        : linkUtilization > parameters.maxLinkUtilization() ? "link" : null;
         if (reason != null) {
             return new SetUpDecision.Rejected(reason);
         }
         settingUp.add(key);
-        return new SetUpDecision.Accepted(rules.setUpMs() * (0.5 + random.nextDouble()) * slow / speedFraction(now));
+        return new SetUpDecision.Accepted(
+                parameters.setUpMs() * (0.5 + random.nextDouble()) * slowdown / speedFraction(now));
     }
 
-    private boolean pushedOver(double now) {
-        if (now - startedAt >= rules.coldMs()) {
+    private boolean overloadsColdProcess(double now) {
+        if (now - startedAt >= parameters.coldMs()) {
             return false;
         }
-        while (!coldSends.isEmpty() && coldSends.peekFirst() <= now - rules.fallMs()) {
-            coldSends.removeFirst();
+        while (!recentColdSetUps.isEmpty() && recentColdSetUps.peekFirst() <= now - parameters.fallMs()) {
+            recentColdSetUps.removeFirst();
         }
-        coldSends.addLast(now);
-        double pace = rules.places() / rules.coldMs() * speedFraction(now);
-        return coldSends.size() > rules.fallMultiple() * pace * rules.fallMs() + SPARE_SENDS;
+        recentColdSetUps.addLast(now);
+        double pace = parameters.places() / parameters.coldMs() * speedFraction(now);
+        return recentColdSetUps.size() > parameters.fallMultiple() * pace * parameters.fallMs() + COLD_BURST_ALLOWANCE;
     }
 
-    /** Share of its pace that it has now. */
+    /** Returns the current speed as a share of the speed of a warm process. */
     public double speedFraction(double now) {
-        double part = Math.min(1, (now - startedAt) / Math.max(1, rules.coldMs()));
-        return rules.coldShare() + (1 - rules.coldShare()) * part;
+        double warmUpProgress = Math.min(1, (now - startedAt) / Math.max(1, parameters.coldMs()));
+        return parameters.coldShare() + (1 - parameters.coldShare()) * warmUpProgress;
     }
 
-    /** The work of a set-up is done: true when it plays from now on, false when it was called off. */
+    /** Completes a set-up. Returns true if the session plays from now on, false if it was cancelled. */
     public boolean finishSetUp(String key) {
-        if (!settingUp.remove(key) || over.containsKey(key)) {
+        if (!settingUp.remove(key) || endedKeys.containsKey(key)) {
             return false;
         }
         playing.add(key);
         return true;
     }
 
-    /** The connection of a set-up that is not answered yet was lost: it is called off. */
+    /** Cancels a set-up whose connection was lost before the answer was sent. */
     public void onConnectionLost(String key) {
         settingUp.remove(key);
-        over.putIfAbsent(key, playing.remove(key));
+        endedKeys.putIfAbsent(key, playing.remove(key));
     }
 
-    /** Told to end an attempt: true when it ran here; if not, it never will. */
+    /** Cancels an attempt. Returns true if it has played here; otherwise it never will. */
     public boolean cancel(String key) {
-        boolean ran = playing.remove(key) || Boolean.TRUE.equals(over.get(key));
+        boolean played = playing.remove(key) || Boolean.TRUE.equals(endedKeys.get(key));
         settingUp.remove(key);
-        over.put(key, ran);
-        return ran;
+        endedKeys.put(key, played);
+        return played;
     }
 
-    /** It ended a session by itself. */
+    /** Records that the box ended a session on its own. */
     public void onSessionEnded(String key) {
         if (playing.remove(key)) {
-            over.put(key, true);
+            endedKeys.put(key, true);
         }
     }
 
-    /** It finishes what it has and takes nothing new. */
+    /** Drains the box: sessions continue, new set-ups are rejected. */
     public void drain() {
         draining = true;
     }
 
-    /** Streams that it runs or sets up. */
+    /** Returns the number of streams that play or are being set up. */
     public int inflight() {
         return playing.size() + settingUp.size();
     }
--- a/model/src/main/java/spanrill/model/box/package-info.java
+++ b/model/src/main/java/spanrill/model/box/package-info.java
@@ -1,2 +1,2 @@
-/** What a box does with set-ups: whom it takes, whom it turns away, when it falls over; pure. */
+/** Model of how a box handles set-ups: when it accepts or rejects them, and when it crashes while cold. */
 package spanrill.model.box;
--- a/model/src/main/java/spanrill/model/crowd/ArrivalRate.java
+++ b/model/src/main/java/spanrill/model/crowd/ArrivalRate.java
@@ -1,31 +1,31 @@
 package spanrill.model.crowd;
 
-/** New sessions a second, as a function of time; {@link #peakPerS} bounds it. */
+/** Rate of new sessions per second as a function of time, bounded by {@link #peakPerS}. */
 public interface ArrivalRate {
-    /** At a time. */
+    /** Returns the rate at time {@code t}, in ms. */
     double perS(double t);
 
-    /** Never more than this. */
+    /** Returns an upper bound of the rate. */
     double peakPerS();
 
-    /** The same all the time. */
+    /** Returns a rate that does not vary. */
     static ArrivalRate constant(double perS) {
         return of(perS, t -> perS);
     }
 
-    /** A sine around the mean: so much above and below it. */
-    static ArrivalRate wave(double perS, double swing, double lengthMs) {
-        return of(perS * (1 + swing), t -> perS * (1 + swing * Math.sin(2 * Math.PI * t / lengthMs)));
+    /** Returns a sine wave with mean {@code perS}, relative amplitude {@code swing} and period {@code periodMs}. */
+    static ArrivalRate wave(double perS, double swing, double periodMs) {
+        return of(perS * (1 + swing), t -> perS * (1 + swing * Math.sin(2 * Math.PI * t / periodMs)));
     }
 
-    /** Only from one time to another. */
+    /** Returns a rate that is {@code perS} from {@code fromMs} to {@code toMs} and 0 at all other times. */
     static ArrivalRate burst(double perS, double fromMs, double toMs) {
         return of(perS, t -> t >= fromMs && t < toMs ? perS : 0);
     }
 
     /**
-     * The final whistle: a jump at a time that dies away exponentially. The sum over all time is {@code perS}
-     * times {@code fadeMs}.
+     * Returns a rate that jumps to {@code perS} at {@code atMs}, as at the final whistle of a match, and then decays
+     * exponentially with the time constant {@code fadeMs}. The integral over all time is {@code perS * fadeMs}.
      */
     static ArrivalRate flashCrowd(double perS, double atMs, double fadeMs) {
         return of(perS, t -> t < atMs ? 0 : perS * Math.exp((atMs - t) / fadeMs));
--- a/model/src/main/java/spanrill/model/crowd/TitleSampler.java
+++ b/model/src/main/java/spanrill/model/crowd/TitleSampler.java
@@ -4,16 +4,16 @@
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 
-/** Which title a viewer wants: by rank after Zipf's law, rank 0 the most wanted. */
+/** Draws the title that a viewer requests. The popularity follows Zipf's law; title 0 is the most popular. */
 public final class TitleSampler {
     private final DiscreteSampler ranks;
 
-    /** So many titles; an exponent of 0 makes all alike. */
+    /** Creates a sampler of {@code count} titles; with an exponent of 0 all titles are equally popular. */
     public TitleSampler(UniformRandomProvider random, int count, double exponent) {
         ranks = RejectionInversionZipfSampler.of(random, count, exponent);
     }
 
-    /** A title. */
+    /** Draws a title number, from 0. */
     public int sample() {
         return ranks.sample() - 1;
     }
--- a/model/src/main/java/spanrill/model/crowd/package-info.java
+++ b/model/src/main/java/spanrill/model/crowd/package-info.java
@@ -1,2 +1,2 @@
-/** Who comes when, and for which title. */
+/** Arrival times of viewers and the titles that they request. */
 package spanrill.model.crowd;
--- a/model/src/main/java/spanrill/model/hall/HallHealNotifier.java
+++ b/model/src/main/java/spanrill/model/hall/HallHealNotifier.java
@@ -4,43 +4,44 @@
 import java.util.List;
 
 /**
- * Tells viewers' devices when their hall is reached again: a player without a network doesn't draw waits,
- * it tries
- * at once when the network is back, together with all others of the hall. Safe from any thread.
+ * Notifies viewers' devices when their hall is no longer isolated. A player without a network does not back off for
+ * a random time: it retries as soon as the network is back, at the same moment as all others of the hall.
+ *
+ * <p>Thread-safe.
  */
 public final class HallHealNotifier {
-    private final boolean[] cut;
+    private final boolean[] isolated;
     private final List<List<Runnable>> waiting = new ArrayList<>();
 
-    /** Watches so many halls. */
+    /** Creates a notifier for {@code halls} halls, none of them isolated. */
     public HallHealNotifier(int halls) {
-        cut = new boolean[halls];
+        isolated = new boolean[halls];
         for (int i = 0; i < halls; i++) {
             waiting.add(new ArrayList<>());
         }
     }
 
-    /** A hall is cut off. */
+    /** Marks a hall as isolated. */
     public synchronized void onIsolated(int hall) {
-        cut[hall] = true;
+        isolated[hall] = true;
     }
 
-    /** It is healed: all who waited are told, outside of the lock. */
+    /** Marks a hall as reachable and runs all waiting actions of the hall, outside the lock. */
     public void onHealed(int hall) {
-        List<Runnable> due;
+        List<Runnable> actions;
         synchronized (this) {
-            cut[hall] = false;
-            due = new ArrayList<>(waiting.get(hall));
+            isolated[hall] = false;
+            actions = new ArrayList<>(waiting.get(hall));
             waiting.get(hall).clear();
         }
-        due.forEach(Runnable::run);
+        actions.forEach(Runnable::run);
     }
 
-    /** Runs the action when the hall heals; false, and nothing is kept, when it isn't cut. */
+    /** Runs the action when the hall heals. Returns false and drops the action if the hall is not isolated. */
     public synchronized boolean runWhenHealed(int hall, Runnable action) {
-        if (cut[hall]) {
+        if (isolated[hall]) {
             waiting.get(hall).add(action);
         }
-        return cut[hall];
+        return isolated[hall];
     }
 }
--- a/model/src/main/java/spanrill/model/hall/HallNetwork.java
+++ b/model/src/main/java/spanrill/model/hall/HallNetwork.java
@@ -4,62 +4,62 @@
 import java.util.List;
 
 /**
- * Halls with one-way times between them, and cuts. A cut hall reaches itself and nothing else; cuts of the
- * same hall may overlap and it is healed when the last of them ends.
+ * Latency and reachability between halls. An isolated hall reaches only itself. Isolations of the same hall may
+ * overlap; the hall is reachable again when the last of them ends.
  */
 public final class HallNetwork {
     private final List<String> names;
     private final double sameMs;
     private final double crossMs;
-    private final int[] cuts;
+    private final int[] isolations;
 
-    /** Halls that are {@code sameMs} wide and {@code crossMs} apart, one way. */
+    /** Creates halls with a one-way latency of {@code sameMs} within a hall and {@code crossMs} between two halls. */
     public HallNetwork(List<String> names, double sameMs, double crossMs) {
         this.names = new ArrayList<>(names);
         this.sameMs = sameMs;
         this.crossMs = crossMs;
-        cuts = new int[names.size()];
+        isolations = new int[names.size()];
     }
 
-    /** Number of a hall by its name, or -1. */
+    /** Returns the number of the hall with this name, or -1 if there is none. */
     public int indexOf(String name) {
         return names.indexOf(name);
     }
 
-    /** Name of a hall. */
+    /** Returns the name of a hall. */
     public String name(int hall) {
         return names.get(hall);
     }
 
-    /** How many. */
+    /** Returns the number of halls. */
     public int size() {
         return names.size();
     }
 
-    /** A cut of a hall begins. */
+    /** Begins an isolation of a hall. */
     public void isolate(int hall) {
-        cuts[hall]++;
+        isolations[hall]++;
     }
 
-    /** A cut of a hall ends; true when the hall is healed by that. */
+    /** Ends one isolation of a hall. Returns true if that was the last one and the hall is reachable again. */
     public boolean heal(int hall) {
-        if (cuts[hall] == 0) {
-            throw new IllegalStateException(names.get(hall) + " is not cut off");
+        if (isolations[hall] == 0) {
+            throw new IllegalStateException(names.get(hall) + " is not isolated");
         }
-        return --cuts[hall] == 0;
+        return --isolations[hall] == 0;
     }
 
-    /** True while a hall is cut off. */
+    /** Returns true while a hall is isolated. */
     public boolean isIsolated(int hall) {
-        return cuts[hall] > 0;
+        return isolations[hall] > 0;
     }
 
-    /** True when something sent from one hall reaches the other. */
+    /** Returns true if messages from one hall reach the other. */
     public boolean canReach(int from, int to) {
-        return from == to || (cuts[from] == 0 && cuts[to] == 0);
+        return from == to || (isolations[from] == 0 && isolations[to] == 0);
     }
 
-    /** One-way time between halls. */
+    /** Returns the one-way latency between two halls, in ms. */
     public double oneWayMs(int from, int to) {
         return from == to ? sameMs : crossMs;
     }
--- a/model/src/main/java/spanrill/model/hall/package-info.java
+++ b/model/src/main/java/spanrill/model/hall/package-info.java
@@ -1,2 +1,2 @@
-/** Halls: how far they are from each other, and which are cut off. */
+/** Halls, the latency between them, and which of them are isolated from the others. */
 package spanrill.model.hall;
--- a/model/src/main/java/spanrill/model/link/FlowTokenBucket.java
+++ b/model/src/main/java/spanrill/model/link/FlowTokenBucket.java
@@ -1,43 +1,43 @@
 package spanrill.model.link;
 
 /**
- * SerialExecutor what a link grants a flow into bytes that may be written now. What was granted while nothing was
- * asked
- * for (between two segments) may be caught up for a short time; a link can't give it much later.
+ * Token bucket that converts the bytes granted to a flow into the bytes that may be written now. Bytes granted while
+ * the flow had nothing to send (between two segments) stay available for {@code depthMs} only, because a real link
+ * does not deliver unused capacity later.
  */
 public final class FlowTokenBucket {
     private final double depthMs;
-    private double grantedSeen;
-    private double allowance;
+    private double lastGrantedBytes;
+    private double available;
 
-    /** Keeps at most what is granted in so many milliseconds. */
+    /** Creates an empty bucket that holds at most the bytes granted in {@code depthMs}. */
     public FlowTokenBucket(double depthMs) {
         this.depthMs = depthMs;
     }
 
     /**
-     * Takes in what was granted up to now.
+     * Adds the bytes that were granted since the last call.
      *
-     * @param granted bytes granted to the flow since it began
-     * @param ratePerMs bytes that are granted in a millisecond now
+     * @param grantedBytes bytes granted to the flow since it began
+     * @param ratePerMs current rate in bytes per millisecond
      */
-    public void addGranted(double granted, double ratePerMs) {
-        allowance = Math.min(allowance + granted - grantedSeen, Math.max(1, ratePerMs * depthMs));
-        grantedSeen = granted;
+    public void addGranted(double grantedBytes, double ratePerMs) {
+        available = Math.min(available + grantedBytes - lastGrantedBytes, Math.max(1, ratePerMs * depthMs));
+        lastGrantedBytes = grantedBytes;
     }
 
-    /** Adds bytes beyond what is granted: a start where the link has room. */
+    /** Adds bytes beyond the granted ones, for a fast start on a link with spare capacity. */
     public void addBurst(double bytes) {
-        allowance += bytes;
+        available += bytes;
     }
 
-    /** Whole bytes that may be written. */
+    /** Returns the number of whole bytes that may be written. */
     public int availableBytes() {
-        return (int) Math.min(Integer.MAX_VALUE, Math.max(0, allowance));
+        return (int) Math.min(Integer.MAX_VALUE, Math.max(0, available));
     }
 
-    /** So many were written. */
+    /** Removes written bytes from the bucket. */
     public void consume(int bytes) {
-        allowance -= bytes;
+        available -= bytes;
     }
 }
--- a/model/src/main/java/spanrill/model/link/LinkNetwork.java
+++ b/model/src/main/java/spanrill/model/link/LinkNetwork.java
@@ -4,43 +4,42 @@
 import java.util.List;
 
 /**
- * Boxes with links, racks with uplinks, and flows that ask rates of them. The rule:
+ * Bandwidth sharing between flows on the links of boxes and the uplinks of racks:
  *
  * <ol>
- * <li>A link cuts first. Where the flows of a box ask {@code A} in all of a link that gives {@code L},
- * each is
- *     let through with the share {@code min(1, L / A)} of its own rate.
- * <li>A rack's uplink sees what its links let through, {@code T}. Where that is more than the uplink gives,
- *     {@code U}, each flow of the rack is cut once more by the same {@code min(1, U / T)}.
+ * <li>Link: if the flows of a box request {@code A} bytes per second in total and the link has the capacity
+ *     {@code L}, each flow passes the link with the share {@code min(1, L / A)} of its own rate.
+ * <li>Uplink: if the links of a rack pass {@code T} bytes per second in total and the uplink has the capacity
+ *     {@code U}, the rate of each flow of the rack is multiplied by {@code min(1, U / T)} as well.
  * </ol>
  *
- * <p>The share of a flow is the product. It depends on sums alone, and sums are kept in whole bytes a second,
- * so it is the same whatever the order of changes was. A change costs O(1), and O(boxes of the rack) when the
- * cut of the uplink changes; never anything by the number of flows.
+ * <p>The share of a flow is the product of both. It depends only on sums, which are kept in whole bytes per second, so
+ * the result does not depend on the order of changes. A change costs O(1), or O(boxes of the rack) if the share of
+ * the uplink changes; the cost never depends on the number of flows.
  *
- * <p>Times are milliseconds and must not go back.
+ * <p>All times are in milliseconds and must not decrease from call to call.
  */
 public final class LinkNetwork {
-    /** A session's claim on a box. */
+    /** A session's demand for bandwidth of a box. */
     public static final class Flow {
         private final Box box;
         private long rate;
         private double grantedBefore;
-        private double since;
-        private boolean gone;
+        private double integralAtRateChange;
+        private boolean removed;
 
         private Flow(Box box, long rate) {
             this.box = box;
             this.rate = rate;
-            since = box.integral;
+            integralAtRateChange = box.shareIntegral;
         }
 
-        /** Rate that it asks, bytes a second. */
+        /** Returns the requested rate in bytes per second. */
         public long rate() {
             return rate;
         }
 
-        /** Number of its box. */
+        /** Returns the number of the box. */
         public int box() {
             return box.number;
         }
@@ -49,45 +48,50 @@
     private static final class Box {
         private final int number;
         private final Rack rack;
-        private long gives;
-        private long asked;
-        private int flows;
+        private long capacity;
+        private long requested;
+        private int flowCount;
         private double share = 1;
-        private double integral;
-        private double at = Double.NaN;
-        private long changes;
+        /** Integral of the share over time, in ms, up to {@code settledAtMs}. */
+        private double shareIntegral;
 
-        Box(int number, Rack rack, long gives) {
+        private double settledAtMs = Double.NaN;
+        private long shareChanges;
+
+        Box(int number, Rack rack, long capacity) {
             this.number = number;
             this.rack = rack;
-            this.gives = gives;
+            this.capacity = capacity;
         }
 
-        long through() {
-            return Math.min(asked, gives);
+        /** Bytes per second that pass the link to the uplink. */
+        long passedByLink() {
+            return Math.min(requested, capacity);
         }
 
-        double own() {
-            return asked <= gives ? 1 : (double) gives / asked;
+        /** Share of the requested rates that the link allows. */
+        double linkShare() {
+            return requested <= capacity ? 1 : (double) capacity / requested;
         }
 
-        /** Brings the integral of its share up to a time. */
+        /** Updates the integral of the share to time {@code now}. */
         void settle(double now) {
-            if (!Double.isNaN(at)) {
-                integral += share * (now - at);
+            if (!Double.isNaN(settledAtMs)) {
+                shareIntegral += share * (now - settledAtMs);
             }
-            at = now;
+            settledAtMs = now;
         }
     }
 
     private static final class Rack {
         private final List<Box> boxes = new ArrayList<>();
-        private long gives;
-        private long through;
-        private double cut = 1;
+        private long capacity;
+        private long passedByLinks;
+        private double uplinkShare = 1;
 
-        double wanted() {
-            return through <= gives ? 1 : (double) gives / through;
+        /** Share of the rates arriving from the links that the uplink allows. */
+        double computeUplinkShare() {
+            return passedByLinks <= capacity ? 1 : (double) capacity / passedByLinks;
         }
     }
 
@@ -95,169 +99,169 @@
     private final List<Rack> racks = new ArrayList<>();
     private double now = Double.NEGATIVE_INFINITY;
 
-    /** Adds a rack whose uplink gives so many bytes a second; gives its number. */
+    /** Adds a rack with this uplink capacity and returns the number of the rack. */
     public int addRack(long bytesPerS) {
         Rack rack = new Rack();
-        rack.gives = checked(bytesPerS);
+        rack.capacity = checkRate(bytesPerS);
         racks.add(rack);
         return racks.size() - 1;
     }
 
-    /** Adds a box to a rack; gives its number. */
+    /** Adds a box with this link capacity to a rack and returns the number of the box. */
     public int addBox(int rack, long bytesPerS) {
-        Box box = new Box(boxes.size(), racks.get(rack), checked(bytesPerS));
+        Box box = new Box(boxes.size(), racks.get(rack), checkRate(bytesPerS));
         box.rack.boxes.add(box);
         boxes.add(box);
         return box.number;
     }
 
-    private static long checked(long bytesPerS) {
+    private static long checkRate(long bytesPerS) {
         if (bytesPerS < 0 || bytesPerS > 1L << 52) {
-            throw new IllegalArgumentException("a rate must be from 0 to 2^52 bytes a second");
+            throw new IllegalArgumentException("a rate must be from 0 to 2^52 bytes per second");
         }
         return bytesPerS;
     }
 
-    private void at(double time) {
+    private void advanceTo(double time) {
         if (!(time >= now)) {
-            throw new IllegalArgumentException("time went back from " + now + " to " + time);
+            throw new IllegalArgumentException("time must not decrease: from " + now + " to " + time);
         }
         now = time;
     }
 
-    /** A flow begins. */
+    /** Adds a flow with this requested rate to a box. */
     public Flow addFlow(double time, int box, long bytesPerS) {
-        at(time);
-        Box to = boxes.get(box);
-        to.settle(time);
-        Flow flow = new Flow(to, checked(bytesPerS));
-        to.flows++;
-        ask(time, to, bytesPerS);
+        advanceTo(time);
+        Box target = boxes.get(box);
+        target.settle(time);
+        Flow flow = new Flow(target, checkRate(bytesPerS));
+        target.flowCount++;
+        changeRequested(time, target, bytesPerS);
         return flow;
     }
 
-    /** A flow asks another rate. */
+    /** Changes the requested rate of a flow. */
     public void setRate(double time, Flow flow, long bytesPerS) {
-        at(time);
-        live(flow);
+        advanceTo(time);
+        requireActive(flow);
         flow.box.settle(time);
         flow.grantedBefore = grantedBytes(time, flow);
-        flow.since = flow.box.integral;
-        long change = checked(bytesPerS) - flow.rate;
+        flow.integralAtRateChange = flow.box.shareIntegral;
+        long change = checkRate(bytesPerS) - flow.rate;
         flow.rate = bytesPerS;
-        ask(time, flow.box, change);
+        changeRequested(time, flow.box, change);
     }
 
-    /** A flow ends; gives the bytes granted to it in all. */
+    /** Removes a flow and returns the bytes that were granted to it in total. */
     public double removeFlow(double time, Flow flow) {
-        at(time);
-        live(flow);
+        advanceTo(time);
+        requireActive(flow);
         double granted = grantedBytes(time, flow);
-        flow.gone = true;
-        flow.box.flows--;
-        ask(time, flow.box, -flow.rate);
+        flow.removed = true;
+        flow.box.flowCount--;
+        changeRequested(time, flow.box, -flow.rate);
         return granted;
     }
 
-    private static void live(Flow flow) {
-        if (flow.gone) {
-            throw new IllegalArgumentException("the flow has ended");
+    private static void requireActive(Flow flow) {
+        if (flow.removed) {
+            throw new IllegalArgumentException("the flow has been removed already");
         }
     }
 
-    /** A link gives another rate. */
+    /** Changes the link capacity of a box. */
     public void setLinkCapacity(double time, int box, long bytesPerS) {
-        at(time);
-        Box of = boxes.get(box);
-        of.settle(time);
-        long before = of.through();
-        of.gives = checked(bytesPerS);
-        changed(time, of, before);
+        advanceTo(time);
+        Box target = boxes.get(box);
+        target.settle(time);
+        long passedBefore = target.passedByLink();
+        target.capacity = checkRate(bytesPerS);
+        updateShares(time, target, passedBefore);
     }
 
-    /** An uplink gives another rate. */
+    /** Changes the uplink capacity of a rack. */
     public void setUplinkCapacity(double time, int rack, long bytesPerS) {
-        at(time);
-        racks.get(rack).gives = checked(bytesPerS);
-        recut(time, racks.get(rack));
+        advanceTo(time);
+        racks.get(rack).capacity = checkRate(bytesPerS);
+        updateUplinkShare(time, racks.get(rack));
     }
 
-    private void ask(double time, Box box, long change) {
+    private void changeRequested(double time, Box box, long change) {
         box.settle(time);
-        long before = box.through();
-        box.asked += change;
-        changed(time, box, before);
+        long passedBefore = box.passedByLink();
+        box.requested += change;
+        updateShares(time, box, passedBefore);
     }
 
-    private void changed(double time, Box box, long throughBefore) {
-        box.rack.through += box.through() - throughBefore;
-        box.changes++;
-        recut(time, box.rack);
-        box.share = box.own() * box.rack.cut;
+    private void updateShares(double time, Box box, long passedBefore) {
+        box.rack.passedByLinks += box.passedByLink() - passedBefore;
+        box.shareChanges++;
+        updateUplinkShare(time, box.rack);
+        box.share = box.linkShare() * box.rack.uplinkShare;
     }
 
-    private void recut(double time, Rack rack) {
-        double cut = rack.wanted();
-        if (cut == rack.cut) {
+    private void updateUplinkShare(double time, Rack rack) {
+        double uplinkShare = rack.computeUplinkShare();
+        if (uplinkShare == rack.uplinkShare) {
             return;
         }
-        rack.cut = cut;
+        rack.uplinkShare = uplinkShare;
         for (Box box : rack.boxes) {
             box.settle(time);
-            box.share = box.own() * cut;
-            box.changes++;
+            box.share = box.linkShare() * uplinkShare;
+            box.shareChanges++;
         }
     }
 
-    /** Share of its own rate that each flow of a box gets now. */
+    /** Returns the share of its requested rate that each flow of a box gets now. */
     public double share(int box) {
         return boxes.get(box).share;
     }
 
-    /** Bytes granted to a flow since it began. */
+    /** Returns the bytes granted to a flow since it was added. */
     public double grantedBytes(double time, Flow flow) {
         Box box = flow.box;
-        double integral = box.integral + box.share * (time - box.at);
-        return flow.grantedBefore + flow.rate * (integral - flow.since) / 1000;
+        double shareIntegral = box.shareIntegral + box.share * (time - box.settledAtMs);
+        return flow.grantedBefore + flow.rate * (shareIntegral - flow.integralAtRateChange) / 1000;
     }
 
-    /** What is asked of a link over what it gives. */
+    /** Returns the requested rate on a link divided by its capacity; above 1 the link is overloaded. */
     public double linkUtilization(int box) {
-        Box of = boxes.get(box);
-        return over(of.asked, of.gives);
+        Box target = boxes.get(box);
+        return utilization(target.requested, target.capacity);
     }
 
-    /** What its links let through to an uplink over what it gives. */
+    /** Returns the rate that arrives at an uplink from the links divided by the uplink capacity. */
     public double uplinkUtilization(int rack) {
-        return over(racks.get(rack).through, racks.get(rack).gives);
+        return utilization(racks.get(rack).passedByLinks, racks.get(rack).capacity);
     }
 
-    private static double over(long asked, long gives) {
-        return gives > 0 ? (double) asked / gives : asked > 0 ? Double.POSITIVE_INFINITY : 0;
+    private static double utilization(long load, long capacity) {
+        return capacity > 0 ? (double) load / capacity : load > 0 ? Double.POSITIVE_INFINITY : 0;
     }
 
-    /** What the flows of a box ask, bytes a second. */
+    /** Returns the sum of the requested rates on a box, in bytes per second. */
     public long requestedBytesPerS(int box) {
-        return boxes.get(box).asked;
+        return boxes.get(box).requested;
     }
 
-    /** What a link gives, bytes a second. */
+    /** Returns the link capacity of a box, in bytes per second. */
     public long linkCapacity(int box) {
-        return boxes.get(box).gives;
+        return boxes.get(box).capacity;
     }
 
-    /** What an uplink gives, bytes a second. */
+    /** Returns the uplink capacity of a rack, in bytes per second. */
     public long uplinkCapacity(int rack) {
-        return racks.get(rack).gives;
+        return racks.get(rack).capacity;
     }
 
-    /** Counts what changed the share of a box: the same count before and after says that it stood still. */
+    /** Counts the updates of the share of a box. If the count is unchanged, the share was constant in between. */
     public long shareChanges(int box) {
-        return boxes.get(box).changes;
+        return boxes.get(box).shareChanges;
     }
 
-    /** Flows on a box. */
+    /** Returns the number of flows on a box. */
     public int flowCount(int box) {
-        return boxes.get(box).flows;
+        return boxes.get(box).flowCount;
     }
 }
--- a/model/src/main/java/spanrill/model/link/package-info.java
+++ b/model/src/main/java/spanrill/model/link/package-info.java
@@ -1,2 +1,2 @@
-/** Links of boxes and uplinks of racks, and how the sessions on them share (docs/model.md has the proofs). */
+/** Bandwidth sharing on box links and rack uplinks (proofs in docs/model.md). */
 package spanrill.model.link;
--- a/model/src/main/java/spanrill/model/package-info.java
+++ b/model/src/main/java/spanrill/model/package-info.java
@@ -1,11 +1,10 @@
 /**
- * A model of what a front serves: links that share ({@code link}), halls that are cut off ({@code hall}),
- * crowds
- * that come ({@code crowd}), players that play, leave and return ({@code player}), troubles and whom they hit
- * ({@code trouble}).
+ * Models of the environment of a front: bandwidth sharing on links ({@code link}), isolation of halls
+ * ({@code hall}), viewer arrivals ({@code crowd}), players ({@code player}), set-ups on boxes ({@code box}) and
+ * injected troubles ({@code trouble}).
  *
- * <p>Pure: the time comes with each call, in milliseconds, and every draw comes from a seed (Commons RNG). No
- * sockets, no threads. Rehearsals on sockets drive it in real time; runs in virtual time may drive the same
- * classes.
+ * <p>The models use no sockets and no threads. Callers pass the time in milliseconds with each call, and all
+ * random numbers come from seeded generators (Commons RNG). Rehearsals on sockets drive the models in real time,
+ * the emulator drives the same classes in virtual time.
  */
 package spanrill.model;
--- a/model/src/main/java/spanrill/model/player/AbandonmentModel.java
+++ b/model/src/main/java/spanrill/model/player/AbandonmentModel.java
@@ -3,45 +3,45 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Leaving for want of rate: while the share delivered, smoothed, is under what is bearable, a viewer
- * leaves with
- * a hazard in proportion to what is missing; and it always leaves in a stall that is too long.
+ * Decides when a viewer leaves because of bad quality. While the smoothed delivered share is below the bearable share,
+ * the viewer leaves with a hazard rate proportional to the difference. The viewer always leaves if a stall is too
+ * long.
  */
 public final class AbandonmentModel {
-    /** Hazard a second for each point (of 1) of the share that is missing. */
-    private static final double HAZARD = 1.5;
+    /** Hazard rate per second per unit of missing share, where 1 is the full media rate. */
+    private static final double HAZARD_PER_S = 1.5;
 
-    private static final double SMOOTH_MS = 4000;
-    private static final double LONGEST_STALL_MS = 8000;
+    private static final double SMOOTHING_MS = 4000;
+    private static final double MAX_STALL_MS = 8000;
 
-    private final double bearable;
+    private final double minBearableShare;
     private final UniformRandomProvider random;
     private double share = 1;
-    private double at = Double.NaN;
+    private double updatedAtMs = Double.NaN;
 
-    /** Leaves under this share. */
-    public AbandonmentModel(double bearable, UniformRandomProvider random) {
-        this.bearable = bearable;
+    /** Creates a model of a viewer who may leave while less than {@code minBearableShare} is delivered. */
+    public AbandonmentModel(double minBearableShare, UniformRandomProvider random) {
+        this.minBearableShare = minBearableShare;
         this.random = random;
     }
 
     /**
-     * A segment came, or is overdue.
+     * Evaluates the quality when a segment has arrived or is overdue.
      *
-     * @param now time
-     * @param delivered share of its rate that came since the last call
-     * @param stallMs the stall at hand
-     * @return true when the viewer leaves
+     * @param now current time in ms
+     * @param deliveredShare share of the media rate that was delivered since the last call
+     * @param stallMs duration of the current stall in ms, 0 if the player plays
+     * @return true if the viewer leaves
      */
-    public boolean leaves(double now, double delivered, double stallMs) {
-        double passed = Double.isNaN(at) ? 0 : now - at;
-        at = now;
-        share += (1 - Math.exp(-passed / SMOOTH_MS)) * (Math.min(1, delivered) - share);
-        double hazard = HAZARD * Math.max(0, bearable - share);
-        return stallMs > LONGEST_STALL_MS || random.nextDouble() < 1 - Math.exp(-hazard * passed / 1000);
+    public boolean leaves(double now, double deliveredShare, double stallMs) {
+        double elapsedMs = Double.isNaN(updatedAtMs) ? 0 : now - updatedAtMs;
+        updatedAtMs = now;
+        share += (1 - Math.exp(-elapsedMs / SMOOTHING_MS)) * (Math.min(1, deliveredShare) - share);
+        double hazard = HAZARD_PER_S * Math.max(0, minBearableShare - share);
+        return stallMs > MAX_STALL_MS || random.nextDouble() < 1 - Math.exp(-hazard * elapsedMs / 1000);
     }
 
-    /** The share, smoothed. */
+    /** Returns the smoothed delivered share. */
     public double smoothedShare() {
         return share;
     }
--- a/model/src/main/java/spanrill/model/player/FrontSelector.java
+++ b/model/src/main/java/spanrill/model/player/FrontSelector.java
@@ -4,45 +4,49 @@
 import java.util.List;
 
 /**
- * Which front a viewer goes to: one of its hall, drawn. Viewers go on coming to a dead one until it was dead
- * for as long as they are slow to notice; then to others of the hall, then of any hall.
+ * Selects a random front for a viewer, preferably in the viewer's hall. Viewers keep using a stopped front until they
+ * notice the stop; then they use other fronts of the hall, then fronts of any hall.
+ *
+ * <p>Thread-safe.
  */
 public final class FrontSelector {
     private final int halls;
     private final double[] downSince;
-    private final double leastMs;
-    private final double mostMs;
+    private final double minNoticeMs;
+    private final double maxNoticeMs;
 
-    /** Fronts stand in the halls in turn; viewers notice a death after a time drawn from the range. */
-    public FrontSelector(int fronts, int halls, double leastMs, double mostMs) {
+    /** Creates a selector of fronts that are assigned to halls round-robin; a stop is noticed after a random delay. */
+    public FrontSelector(int fronts, int halls, double minNoticeMs, double maxNoticeMs) {
         this.halls = halls;
-        this.leastMs = leastMs;
-        this.mostMs = mostMs;
+        this.minNoticeMs = minNoticeMs;
+        this.maxNoticeMs = maxNoticeMs;
         downSince = new double[fronts];
         java.util.Arrays.fill(downSince, Double.NaN);
     }
 
-    /** A front died. */
+    /** Records that a front stopped at time {@code now}. */
     public synchronized void markDown(double now, int front) {
         downSince[front] = now;
     }
 
-    /** A front listens. */
+    /** Records that a front accepts connections. */
     public synchronized void markUp(int front) {
         downSince[front] = Double.NaN;
     }
 
-    /** A front for a viewer of a hall; the draw is from 0 to 1. */
+    /** Selects a front for a viewer in a hall by a random number {@code draw} from 0 to 1. */
     public synchronized int select(double now, int hall, double draw) {
-        double notice = leastMs + draw * (mostMs - leastMs);
-        List<Integer> own = new ArrayList<>();
-        List<Integer> others = new ArrayList<>();
+        double noticeMs = minNoticeMs + draw * (maxNoticeMs - minNoticeMs);
+        List<Integer> sameHall = new ArrayList<>();
+        List<Integer> otherHalls = new ArrayList<>();
         for (int i = 0; i < downSince.length; i++) {
-            if (Double.isNaN(downSince[i]) || now - downSince[i] <= notice) {
-                (i % halls == hall ? own : others).add(i);
+            if (Double.isNaN(downSince[i]) || now - downSince[i] <= noticeMs) {
+                (i % halls == hall ? sameHall : otherHalls).add(i);
             }
         }
-        List<Integer> from = own.isEmpty() ? others : own;
-        return from.isEmpty() ? 0 : from.get((int) Math.min(from.size() - 1, draw * from.size()));
+        List<Integer> candidates = sameHall.isEmpty() ? otherHalls : sameHall;
+        return candidates.isEmpty()
+                ? 0
+                : candidates.get((int) Math.min(candidates.size() - 1, draw * candidates.size()));
     }
 }
--- a/model/src/main/java/spanrill/model/player/PlaybackBuffer.java
+++ b/model/src/main/java/spanrill/model/player/PlaybackBuffer.java
@@ -1,96 +1,95 @@
 package spanrill.model.player;
 
 /**
- * Media that a player holds. It begins to play when it holds enough, stalls when it runs out, and goes on
- * when
- * it holds enough again.
+ * Media buffer of a player. Playback starts when enough media is buffered, stalls when the buffer is empty, and
+ * resumes when enough media is buffered again.
  */
 public final class PlaybackBuffer {
     private final double startMs;
-    private final double againMs;
+    private final double resumeMs;
     private double heldMs;
-    private double at;
+    private double updatedAtMs;
     private boolean playing;
-    private boolean began;
+    private boolean started;
     private double playedMs;
     private double stalledMs;
     private double longestStallMs;
     private double stallMs;
     private int stalls;
 
-    /** Begins with {@code startMs} held and goes on after a stall with {@code againMs}. */
-    public PlaybackBuffer(double startMs, double againMs, double now) {
+    /** Creates an empty buffer that starts to play at {@code startMs} of media and resumes at {@code resumeMs}. */
+    public PlaybackBuffer(double startMs, double resumeMs, double now) {
         this.startMs = startMs;
-        this.againMs = againMs;
-        at = now;
+        this.resumeMs = resumeMs;
+        updatedAtMs = now;
     }
 
-    /** Time passes. */
+    /** Plays the buffered media up to time {@code now}. */
     public void advance(double now) {
-        double passed = Math.max(0, now - at);
-        at = Math.max(at, now);
+        double elapsedMs = Math.max(0, now - updatedAtMs);
+        updatedAtMs = Math.max(updatedAtMs, now);
         if (playing) {
-            double played = Math.min(passed, heldMs);
+            double played = Math.min(elapsedMs, heldMs);
             heldMs -= played;
             playedMs += played;
-            if (passed > played) {
+            if (elapsedMs > played) {
                 playing = false;
                 stalls++;
                 stallMs = 0;
-                stall(passed - played);
+                addStall(elapsedMs - played);
             }
-        } else if (began) {
-            stall(passed);
+        } else if (started) {
+            addStall(elapsedMs);
         }
     }
 
-    private void stall(double ms) {
+    private void addStall(double ms) {
         stalledMs += ms;
         stallMs += ms;
         longestStallMs = Math.max(longestStallMs, stallMs);
     }
 
-    /** Media came. */
+    /** Adds {@code ms} of media at time {@code now}. */
     public void add(double now, double ms) {
         advance(now);
         heldMs += ms;
-        if (!playing && heldMs >= (began ? againMs : startMs)) {
+        if (!playing && heldMs >= (started ? resumeMs : startMs)) {
             playing = true;
-            began = true;
+            started = true;
         }
     }
 
-    /** Held now. */
+    /** Returns the buffered media in ms. */
     public double heldMs() {
         return heldMs;
     }
 
-    /** True while it plays. */
+    /** Returns true while media plays. */
     public boolean isPlaying() {
         return playing;
     }
 
-    /** Played so far. */
+    /** Returns the total played time in ms. */
     public double playedMs() {
         return playedMs;
     }
 
-    /** Stalled so far, the time before the start not counted. */
+    /** Returns the total stalled time in ms, without the time before the first start. */
     public double stalledMs() {
         return stalledMs;
     }
 
-    /** The longest stall. */
+    /** Returns the duration of the longest stall in ms. */
     public double longestStallMs() {
         return longestStallMs;
     }
 
-    /** The stall at hand, 0 while it plays. */
+    /** Returns the duration of the current stall in ms, 0 while media plays. */
     public double stallMs() {
-        return began && !playing ? stallMs : 0;
+        return started && !playing ? stallMs : 0;
     }
 
-    /** How often it stalled. */
+    /** Returns the number of stalls. */
     public int stalls() {
         return stalls;
     }
--- a/model/src/main/java/spanrill/model/player/Player.java
+++ b/model/src/main/java/spanrill/model/player/Player.java
@@ -5,166 +5,172 @@
 import spanrill.model.RandomStreams;
 
 /**
- * One viewer with its player, from the first request to the end. It is told what happened and says what to do
- * next; whoever drives it does that on sockets or in virtual time.
+ * State machine of one viewer and its player, from the first request to the end. The caller reports events and performs
+ * the returned {@link Action}, on sockets or in virtual time.
  */
 public final class Player {
-    private static final double BUFFER_MS = 4000;
-    private static final double START_MS = 1;
-    private static final double AGAIN_MS = 1500;
-    private static final int METER_SEGMENTS = 5;
-    private static final double PART = 0.9;
-    // A session shorter than this is not worth another request.
-    private static final double WORTH_MS = 1000;
-
-    /** What to do next. */
+    private static final double MAX_BUFFER_MS = 4000;
+    private static final double START_BUFFER_MS = 1;
+    private static final double RESUME_BUFFER_MS = 1500;
+    private static final int THROUGHPUT_WINDOW_SEGMENTS = 5;
+    private static final double THROUGHPUT_SAFETY_FACTOR = 0.9;
+    /** A viewer with less time left than this does not send another request. */
+    private static final double MIN_REMAINING_MS = 1000;
+
+    /** What the caller has to do next. */
     public sealed interface Action {
-        /** Ask for a session after so long; a new token unless the last one was refused. */
+        /** Request a session after {@code afterMs}, with a new token unless the last request was refused. */
         record Request(double afterMs, boolean newToken) implements Action {}
 
-        /** Fetch a segment after so long: number from 1, rung as an index of the ladder offered. */
+        /** Fetch a segment after {@code afterMs}: number from 1, rung as an index in the offered ladder. */
         record Fetch(double afterMs, int number, int rung) implements Action {}
 
-        /** End the session in order. */
+        /** Release the session. */
         record End(boolean lostPatience) implements Action {}
 
-        /** Nothing more. */
+        /** Send no further requests: the viewer is finished. */
         record Done() implements Action {}
     }
 
     private final ViewerTraits traits;
-    private final RetryPolicy returning;
+    private final RetryPolicy retryPolicy;
     private final AbandonmentModel abandonment;
-    private final RungSelector rule;
-    private final double endsAt;
-    private int tries;
+    private final RungSelector rungSelector;
+    private final double endMs;
+    private int requestCount;
     private List<Long> ladder = List.of();
     private double segmentMs;
-    private int segments;
+    private int segmentCount;
     private PlaybackBuffer buffer;
-    private ThroughputMeter meter;
-    private int number;
-    private double askedAt;
+    private ThroughputMeter throughput;
+    private int segmentNumber;
+    private double fetchStartedMs;
     private double playedMs;
     private double stalledMs;
     private double longestStallMs;
     private int stalls;
 
-    /** A player that comes now; it returns after waits drawn from the range. */
+    /** Creates a player that arrives at {@code now}; {@code returnMs} is the range of the base delay of retries. */
     public Player(ViewerTraits traits, double now, List<Double> returnMs) {
         this.traits = traits;
         UniformRandomProvider random = RandomStreams.of(traits.seed());
-        returning = new RetryPolicy(traits, random, returnMs.get(0), returnMs.get(1));
+        retryPolicy = new RetryPolicy(traits, random, returnMs.get(0), returnMs.get(1));
         abandonment = new AbandonmentModel(traits.minBearableShare(), random);
-        rule = traits.usesBola() ? RungSelector.bola() : RungSelector.throughput(PART);
-        endsAt = now + traits.watchMs();
+        rungSelector = traits.usesBola() ? RungSelector.bola() : RungSelector.throughput(THROUGHPUT_SAFETY_FACTOR);
+        endMs = now + traits.watchMs();
     }
 
-    /** Its traits. */
+    /** Returns the traits of the viewer. */
     public ViewerTraits traits() {
         return traits;
     }
 
-    /** Requests made. */
+    /** Returns the number of session requests sent. */
     public int requestCount() {
-        return tries;
+        return requestCount;
     }
 
-    /** It asks now. */
+    /** Records that a session request is sent. */
     public void onRequestSent() {
-        tries++;
+        requestCount++;
     }
 
-    /** Turned away. */
+    /** Handles a refused request. */
     public Action onRefused(double now, double retryAfterMs) {
-        return again(now, true, retryAfterMs, false);
+        return retry(now, true, retryAfterMs, false);
     }
 
-    /** The connection, or the session, was lost; a paid request that had no answer is not made again. */
-    public Action onConnectionLost(double now, boolean mayAskAgain) {
-        leaveBuffer(now);
-        return mayAskAgain ? again(now, false, 0, true) : new Action.Done();
+    /**
+     * Handles the loss of the connection or the session.
+     *
+     * @param mayRetry false for a paid request without an answer, which must not be repeated
+     */
+    public Action onConnectionLost(double now, boolean mayRetry) {
+        endPlayback(now);
+        return mayRetry ? retry(now, false, 0, true) : new Action.Done();
     }
 
-    /** It left for want of rate; most who did so ask again. */
+    /** Handles the end of a session that the viewer ended because of bad quality; most such viewers request again. */
     public Action onGaveUp(double now) {
-        return again(now, false, 0, true);
+        return retry(now, false, 0, true);
     }
 
-    private Action again(double now, boolean refused, double retryAfterMs, boolean newToken) {
-        double wait = returning.nextDelayMs(tries, refused, retryAfterMs);
-        return wait < 0 || now + wait > endsAt - WORTH_MS ? new Action.Done() : new Action.Request(wait, newToken);
+    private Action retry(double now, boolean refused, double retryAfterMs, boolean newToken) {
+        double delayMs = retryPolicy.nextDelayMs(requestCount, refused, retryAfterMs);
+        return delayMs < 0 || now + delayMs > endMs - MIN_REMAINING_MS
+                ? new Action.Done()
+                : new Action.Request(delayMs, newToken);
     }
 
-    /** It plays: an MPD came. */
-    public Action onPlaying(double now, List<Long> offered, double lengthOfSegmentMs, int numberOfSegments) {
-        returning.onPlaying();
-        ladder = offered;
-        segmentMs = lengthOfSegmentMs;
-        segments = numberOfSegments;
-        buffer = new PlaybackBuffer(START_MS, AGAIN_MS, now);
-        meter = new ThroughputMeter(METER_SEGMENTS);
-        number = 0;
-        return next(now);
+    /** Handles a received MPD: the session plays. */
+    public Action onPlaying(double now, List<Long> offeredLadder, double nominalSegmentMs, int totalSegments) {
+        retryPolicy.onPlaying();
+        ladder = offeredLadder;
+        segmentMs = nominalSegmentMs;
+        segmentCount = totalSegments;
+        buffer = new PlaybackBuffer(START_BUFFER_MS, RESUME_BUFFER_MS, now);
+        throughput = new ThroughputMeter(THROUGHPUT_WINDOW_SEGMENTS);
+        segmentNumber = 0;
+        return nextSegment(now);
     }
 
-    /** The rungs offered changed. */
-    public void onLadderChanged(List<Long> now) {
-        ladder = now;
+    /** Replaces the offered ladder. */
+    public void onLadderChanged(List<Long> newLadder) {
+        ladder = newLadder;
     }
 
-    /** A fetch begins now. */
+    /** Records that the fetch of a segment starts. */
     public void onFetchStarted(double now) {
-        askedAt = now;
+        fetchStartedMs = now;
     }
 
     /**
-     * A segment came whole.
+     * Handles a completely received segment.
      *
-     * @param bits its length, all tracks together
-     * @param lengthMs how long it plays
+     * @param bits size of the segment in bits, all tracks together
+     * @param lengthMs media duration of the segment in ms
      */
     public Action onSegmentReceived(double now, double bits, double lengthMs) {
-        double took = now - askedAt;
-        meter.addSegment(bits, took);
+        double durationMs = now - fetchStartedMs;
+        throughput.addSegment(bits, durationMs);
         buffer.add(now, lengthMs);
-        if (abandonment.leaves(now, took <= 0 ? 1 : lengthMs / took, buffer.stallMs())) {
-            leaveBuffer(now);
+        if (abandonment.leaves(now, durationMs <= 0 ? 1 : lengthMs / durationMs, buffer.stallMs())) {
+            endPlayback(now);
             return new Action.End(true);
         }
-        return next(now);
+        return nextSegment(now);
     }
 
-    /** A segment of the usual length came whole. */
+    /** Handles a completely received segment of nominal duration. */
     public Action onSegmentReceived(double now, double bits) {
         return onSegmentReceived(now, bits, segmentMs);
     }
 
-    /** A segment is under way; asked from time to time. Null: go on. */
+    /** Checks periodically during a fetch whether the viewer still waits. Returns null if so, else the next action. */
     public Action checkPatience(double now) {
         buffer.advance(now);
         if (buffer.stallMs() > 0 && abandonment.leaves(now, 0, buffer.stallMs())) {
-            leaveBuffer(now);
+            endPlayback(now);
             return new Action.End(true);
         }
         return null;
     }
 
-    private Action next(double now) {
+    private Action nextSegment(double now) {
         buffer.advance(now);
-        if (now >= endsAt || number >= segments) {
-            leaveBuffer(now);
+        if (now >= endMs || segmentNumber >= segmentCount) {
+            endPlayback(now);
             return new Action.End(false);
         }
-        number++;
-        int rung = rule.selectRung(
-                new RungSelector.State(ladder, buffer.heldMs(), BUFFER_MS, segmentMs, meter.bitsPerS()));
-        double wait = Math.max(0, buffer.heldMs() + segmentMs - BUFFER_MS);
-        return new Action.Fetch(wait, number, rung);
+        segmentNumber++;
+        int rung = rungSelector.selectRung(
+                new RungSelector.State(ladder, buffer.heldMs(), MAX_BUFFER_MS, segmentMs, throughput.bitsPerS()));
+        double waitMs = Math.max(0, buffer.heldMs() + segmentMs - MAX_BUFFER_MS);
+        return new Action.Fetch(waitMs, segmentNumber, rung);
     }
 
-    /** Adds up what this session came to. */
-    private void leaveBuffer(double now) {
+    /** Adds the playback statistics of the current session to the totals and discards the buffer. */
+    private void endPlayback(double now) {
         if (buffer != null) {
             buffer.advance(now);
             playedMs += buffer.playedMs();
@@ -175,22 +181,22 @@
         }
     }
 
-    /** Played so far, in sessions that are over. */
+    /** Returns the played time in ms, summed over the ended sessions. */
     public double playedMs() {
         return playedMs;
     }
 
-    /** Stalled so far, in sessions that are over. */
+    /** Returns the stalled time in ms, summed over the ended sessions. */
     public double stalledMs() {
         return stalledMs;
     }
 
-    /** The longest stall, in sessions that are over. */
+    /** Returns the duration of the longest stall in ms in the ended sessions. */
     public double longestStallMs() {
         return longestStallMs;
     }
 
-    /** Stalls, in sessions that are over. */
+    /** Returns the number of stalls in the ended sessions. */
     public int stalls() {
         return stalls;
     }
--- a/model/src/main/java/spanrill/model/player/RetryPolicy.java
+++ b/model/src/main/java/spanrill/model/player/RetryPolicy.java
@@ -3,49 +3,49 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Whether and when a viewer comes again after a refusal or a break. The wait doubles with each refusal in a
- * row, from a drawn base; who honours Retry-After waits at least that long, and draws what comes on top of it
- * so that those who were told the same don't come back at the same time.
+ * Decides whether and when a viewer retries after a refusal or a lost session. The delay starts at a random base and
+ * doubles with each consecutive refusal (exponential backoff). A viewer who honours Retry-After waits at least that
+ * long plus a random time, so that viewers with the same Retry-After do not retry simultaneously.
  */
 public final class RetryPolicy {
     private final ViewerTraits traits;
     private final UniformRandomProvider random;
-    private final double leastMs;
-    private final double mostMs;
-    private int refusals;
+    private final double minBaseMs;
+    private final double maxBaseMs;
+    private int consecutiveRefusals;
 
-    /** Waits from {@code leastMs} to {@code mostMs} the first time. */
-    public RetryPolicy(ViewerTraits traits, UniformRandomProvider random, double leastMs, double mostMs) {
+    /** Creates a policy whose base delay is from {@code minBaseMs} to {@code maxBaseMs}. */
+    public RetryPolicy(ViewerTraits traits, UniformRandomProvider random, double minBaseMs, double maxBaseMs) {
         this.traits = traits;
         this.random = random;
-        this.leastMs = leastMs;
-        this.mostMs = mostMs;
+        this.minBaseMs = minBaseMs;
+        this.maxBaseMs = maxBaseMs;
     }
 
-    /** It plays: the next refusal is the first again. */
+    /** Resets the backoff when a session plays. */
     public void onPlaying() {
-        refusals = 0;
+        consecutiveRefusals = 0;
     }
 
     /**
-     * Turned away, or broken off.
+     * Returns the delay before the next request.
      *
-     * @param tries requests made so far
-     * @param refused true when it was turned away, false when something broke
-     * @param retryAfterMs told with it, 0 for nothing
-     * @return the wait, or -1 when it doesn't come again
+     * @param requestCount number of requests made so far
+     * @param refused true after a refusal, false after a lost session or connection
+     * @param retryAfterMs Retry-After of the refusal in ms, 0 if there is none
+     * @return the delay in ms, or -1 if the viewer does not retry
      */
-    public double nextDelayMs(int tries, boolean refused, double retryAfterMs) {
-        if (tries >= traits.maxRequests() || random.nextDouble() >= traits.returnProbability()) {
+    public double nextDelayMs(int requestCount, boolean refused, double retryAfterMs) {
+        if (requestCount >= traits.maxRequests() || random.nextDouble() >= traits.returnProbability()) {
             return -1;
         }
-        double base = leastMs + random.nextDouble() * (mostMs - leastMs);
+        double baseMs = minBaseMs + random.nextDouble() * (maxBaseMs - minBaseMs);
         if (!refused) {
-            return base;
+            return baseMs;
         }
-        double own = base * Math.pow(2, Math.min(refusals, 4));
-        refusals++;
-        boolean heeds = traits.honoursRetryAfter() && retryAfterMs > 0;
-        return heeds ? Math.max(own, retryAfterMs + random.nextDouble() * base) : own;
+        double backoffMs = baseMs * Math.pow(2, Math.min(consecutiveRefusals, 4));
+        consecutiveRefusals++;
+        boolean waitsRetryAfter = traits.honoursRetryAfter() && retryAfterMs > 0;
+        return waitsRetryAfter ? Math.max(backoffMs, retryAfterMs + random.nextDouble() * baseMs) : backoffMs;
     }
 }
--- a/model/src/main/java/spanrill/model/player/ThroughputMeter.java
+++ b/model/src/main/java/spanrill/model/player/ThroughputMeter.java
@@ -2,29 +2,31 @@
 
 import java.util.ArrayDeque;
 
-/** Harmonic mean of the throughput of the last segments. */
+/** Harmonic mean of the throughput of the most recent segments. */
 public final class ThroughputMeter {
     private final int window;
-    private final ArrayDeque<Double> inverse = new ArrayDeque<>();
+    private final ArrayDeque<Double> secondsPerBit = new ArrayDeque<>();
 
-    /** Over so many segments. */
+    /** Creates a meter over the last {@code window} segments. */
     public ThroughputMeter(int window) {
         this.window = window;
     }
 
-    /** A segment came. */
-    public void addSegment(double bits, double tookMs) {
-        inverse.add(Math.max(tookMs, 0.1) / 1000 / Math.max(1, bits));
-        if (inverse.size() > window) {
-            inverse.poll();
+    /** Adds a received segment. */
+    public void addSegment(double bits, double durationMs) {
+        secondsPerBit.add(Math.max(durationMs, 0.1) / 1000 / Math.max(1, bits));
+        if (secondsPerBit.size() > window) {
+            secondsPerBit.poll();
         }
     }
 
-    /** Bits a second, NaN before the first segment. */
+    /** Returns the throughput in bits per second, NaN before the first segment. */
     public double bitsPerS() {
-        return inverse.isEmpty()
+        return secondsPerBit.isEmpty()
                 ? Double.NaN
-                : inverse.size()
-                        / inverse.stream().mapToDouble(Double::doubleValue).sum();
+                : secondsPerBit.size()
+                        / secondsPerBit.stream()
+                                .mapToDouble(Double::doubleValue)
+                                .sum();
     }
 }
--- a/model/src/main/java/spanrill/model/player/ViewerTraits.java
+++ b/model/src/main/java/spanrill/model/player/ViewerTraits.java
@@ -1,24 +1,25 @@
 package spanrill.model.player;
 
 /**
- * What a viewer and its player are like.
+ * Fixed properties of a viewer and its player.
  *
- * @param serviceClass class of session
+ * @param serviceClass class of the session
  * @param title number of the title
  * @param hall number of the hall
- * @param watchMs wants to watch so long
- * @param topRung highest rung that its screen can use
- * @param patienceMs waits so long for an answer
- * @param leaveAfterMs leaves so long after its first request, -1 for no such whim
- * @param sendsTokenTwice sends its token on two connections at once
- * @param replaysToken sends its token again on another connection once it plays
- * @param honoursRetryAfter waits out a Retry-After
- * @param returnProbability share of breaks and refusals after which it comes again
- * @param maxRequests requests at most
- * @param minBearableShare share of its rate under which it begins to leave
- * @param neverReads asks and then reads nothing
- * @param usesBola chooses rungs by its buffer, else by throughput
- * @param seed of its own draws
+ * @param watchMs time for which the viewer wants to watch, in ms
+ * @param topRung highest rung that the screen can use
+ * @param patienceMs time for which the viewer waits for an answer, in ms
+ * @param leaveAfterMs time after the first request at which the viewer leaves if there is no answer yet, in ms; -1 if
+ *     it does not leave this way
+ * @param sendsTokenTwice whether the player sends its token on two connections at once
+ * @param replaysToken whether the player sends its token on another connection after it starts to play
+ * @param honoursRetryAfter whether the player waits at least for the time in Retry-After
+ * @param returnProbability probability of a retry after a refusal or a lost session
+ * @param maxRequests maximum number of session requests
+ * @param minBearableShare share of the media rate; when less is delivered, the viewer may leave
+ * @param neverReads whether the player requests segments and then never reads from the connection
+ * @param usesBola whether the player selects rungs by buffer level (BOLA); otherwise by throughput
+ * @param seed seed of the random draws of this viewer
  */
 public record ViewerTraits(
         String serviceClass,
--- a/model/src/main/java/spanrill/model/player/package-info.java
+++ b/model/src/main/java/spanrill/model/player/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A player: what it asks when, at which rung, when it loses patience, when and where it comes again. It only
- * decides; whoever drives it fetches.
+ * Model of a video player: when it requests sessions and segments, at which rung, when it loses patience, and when and
+ * where it retries. The player only decides; its caller performs the requests.
  */
 package spanrill.model.player;
--- a/model/src/main/java/spanrill/model/trouble/Kind.java
+++ b/model/src/main/java/spanrill/model/trouble/Kind.java
@@ -1,35 +1,35 @@
 package spanrill.model.trouble;
 
-/** The sorts of trouble, by the names of the day files. */
+/** Kinds of trouble, under the names that day files use. */
 public enum Kind {
-    /** Boxes die and come back cold. */
+    /** Box processes crash and restart cold. */
     CRASH,
-    /** Boxes go silent: no reset, no answer; then they are started anew. */
+    /** Boxes hang: they neither reset connections nor answer; later they are restarted. */
     VANISH,
-    /** Boxes work slowly. */
+    /** Set-ups on boxes take longer. */
     SLOW,
-    /** Uplinks of racks give half. */
+    /** Rack uplinks have half their capacity. */
     SHARED_SLOW,
-    /** Another program takes links: boxes keep a quarter to two thirds. */
+    /** Another program uses the links of boxes: a quarter to two thirds of the capacity remains. */
     NEIGHBOUR,
-    /** Notes come much later. */
+    /** Notes of boxes are delayed by seconds. */
     REPORT_LATE,
-    /** A hall is cut off from the others. */
+    /** A hall is isolated from the others. */
     ZONE_CUT,
-    /** Set-ups run, but their answers are lost. */
+    /** Set-ups run, but some of their answers are lost. */
     ANSWER_LOST,
-    /** Fronts die and come back with their kept list only. */
+    /** Front processes crash and restart with only their stored box list. */
     BALANCER_CRASH,
-    /** Fronts stand still. */
+    /** Front processes are paused. */
     BALANCER_STALL,
-    /** Boxes are replaced one after the other: drained, gone, new and cold. */
+    /** Boxes are replaced one after the other: each drains, stops and is replaced by a cold one. */
     DEPLOY,
-    /** More viewers. */
+    /** More viewers arrive. */
     BURST,
-    /** More viewers for one title, from one moment on. */
+    /** More viewers arrive for one title, from one moment on. */
     HOT_KEY,
-    /** Boxes are told to go with little notice. */
+    /** Boxes are preempted: they drain and stop after a short notice. */
     PREEMPT,
-    /** Boxes grow slower until they are started anew. */
+    /** Set-ups on boxes get slower in steps until the boxes are restarted. */
     AGEING
 }
--- a/model/src/main/java/spanrill/model/trouble/Trouble.java
+++ b/model/src/main/java/spanrill/model/trouble/Trouble.java
@@ -1,11 +1,12 @@
 package spanrill.model.trouble;
 
 /**
- * Something that goes wrong.
+ * A trouble that a day injects.
  *
- * @param kind what
- * @param atMs when
- * @param forMs for how long
- * @param part of the boxes, fronts or racks; for crowds a multiple of the ordinary arrivals
+ * @param kind kind of trouble
+ * @param atMs start, in ms from the start of the day
+ * @param forMs duration in ms
+ * @param part share of the boxes, fronts or racks that are affected; for {@link Kind#BURST} and {@link Kind#HOT_KEY}
+ *     the additional arrivals as a multiple of the ordinary arrival rate
  */
 public record Trouble(Kind kind, double atMs, double forMs, double part) {}
--- a/model/src/main/java/spanrill/model/trouble/TroublePlan.java
+++ b/model/src/main/java/spanrill/model/trouble/TroublePlan.java
@@ -7,18 +7,18 @@
 import org.apache.commons.rng.sampling.PermutationSampler;
 import spanrill.model.RandomStreams;
 
-/** Works out what a day's troubles do to whom: the same troubles, fleet and seed, the same effects. */
+/** Computes the effects of a day's troubles. The same troubles, fleet size and seed give the same effects. */
 public final class TroublePlan {
-    private static final double SLOW = 8;
-    private static final double LATE_MS = 2500;
-    private static final double LOST = 0.5;
-    private static final double UPLINK = 0.5;
-    private static final double DRAIN_MS = 4000;
-    private static final double PREEMPT_MS = 1500;
-    private static final double BACK_MS = 800;
-    private static final int AGES = 5;
+    private static final double SLOWDOWN_FACTOR = 8;
+    private static final double NOTE_DELAY_MS = 2500;
+    private static final double LOST_ANSWER_SHARE = 0.5;
+    private static final double REMAINING_UPLINK_SHARE = 0.5;
+    private static final double DEPLOY_DRAIN_MS = 4000;
+    private static final double PREEMPTION_NOTICE_MS = 1500;
+    private static final double RESTART_MS = 800;
+    private static final int AGEING_STEPS = 5;
 
-    /** How many of each there are. */
+    /** Numbers of boxes, racks, halls and fronts. */
     public record FleetSize(int boxes, int racks, int halls, int fronts) {}
 
     private final FleetSize fleet;
@@ -28,7 +28,7 @@
         this.fleet = fleet;
     }
 
-    /** All effects, in order of time. */
+    /** Returns the effects of all troubles, ordered by time. */
     public static List<Effect> computeEffects(List<Trouble> troubles, FleetSize fleet, long seed) {
         TroublePlan plan = new TroublePlan(fleet);
         for (int i = 0; i < troubles.size(); i++) {
@@ -38,99 +38,101 @@
         return plan.effects;
     }
 
-    private static List<Integer> some(UniformRandomProvider random, int of, double part) {
-        int many = (int) Math.min(of, Math.max(1, Math.round(part * of)));
+    /** Draws {@code part} of the numbers below {@code count}, but at least one. */
+    private static List<Integer> sample(UniformRandomProvider random, int count, double part) {
+        int size = (int) Math.min(count, Math.max(1, Math.round(part * count)));
         List<Integer> chosen = new ArrayList<>();
-        int[] order = PermutationSampler.natural(of);
+        int[] order = PermutationSampler.natural(count);
         PermutationSampler.shuffle(random, order);
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < size; i++) {
             chosen.add(order[i]);
         }
         return chosen;
     }
 
     private void add(Trouble trouble, UniformRandomProvider random) {
-        double at = trouble.atMs();
-        double end = at + trouble.forMs();
-        List<Integer> boxes = some(random, fleet.boxes(), trouble.part());
-        List<Integer> fronts = some(random, fleet.fronts(), trouble.part());
+        double startMs = trouble.atMs();
+        double endMs = startMs + trouble.forMs();
+        List<Integer> boxes = sample(random, fleet.boxes(), trouble.part());
+        List<Integer> fronts = sample(random, fleet.fronts(), trouble.part());
         switch (trouble.kind()) {
             case CRASH ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxStops(at, box, "crash"));
-                    effects.add(new Effect.BoxStarts(end, box, true));
+                    effects.add(new Effect.BoxStops(startMs, box, "crash"));
+                    effects.add(new Effect.BoxStarts(endMs, box, true));
                 });
             case VANISH ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxHangs(at, box));
-                    effects.add(new Effect.BoxStops(end, box, "vanished"));
-                    effects.add(new Effect.BoxStarts(end, box, false));
+                    effects.add(new Effect.BoxHangs(startMs, box));
+                    effects.add(new Effect.BoxStops(endMs, box, "vanished"));
+                    effects.add(new Effect.BoxStarts(endMs, box, false));
                 });
             case SLOW ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxSlowdown(at, box, SLOW));
-                    effects.add(new Effect.BoxSlowdown(end, box, 1));
+                    effects.add(new Effect.BoxSlowdown(startMs, box, SLOWDOWN_FACTOR));
+                    effects.add(new Effect.BoxSlowdown(endMs, box, 1));
                 });
             case SHARED_SLOW ->
-                some(random, fleet.racks(), trouble.part()).forEach(rack -> {
-                    effects.add(new Effect.RackUplinkShare(at, rack, UPLINK));
-                    effects.add(new Effect.RackUplinkShare(end, rack, 1));
+                sample(random, fleet.racks(), trouble.part()).forEach(rack -> {
+                    effects.add(new Effect.RackUplinkShare(startMs, rack, REMAINING_UPLINK_SHARE));
+                    effects.add(new Effect.RackUplinkShare(endMs, rack, 1));
                 });
             case NEIGHBOUR ->
                 boxes.forEach(box -> {
-                    // It takes 33 to 75 points of the link.
-                    effects.add(new Effect.BoxLinkShare(at, box, 0.25 + 0.42 * random.nextDouble()));
-                    effects.add(new Effect.BoxLinkShare(end, box, 1));
+                    // The other program uses 33 to 75 percent of the link.
+                    effects.add(new Effect.BoxLinkShare(startMs, box, 0.25 + 0.42 * random.nextDouble()));
+                    effects.add(new Effect.BoxLinkShare(endMs, box, 1));
                 });
             case REPORT_LATE ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxNoteDelay(at, box, LATE_MS));
-                    effects.add(new Effect.BoxNoteDelay(end, box, 0));
+                    effects.add(new Effect.BoxNoteDelay(startMs, box, NOTE_DELAY_MS));
+                    effects.add(new Effect.BoxNoteDelay(endMs, box, 0));
                 });
             case ZONE_CUT -> {
                 int hall = random.nextInt(fleet.halls());
-                effects.add(new Effect.HallIsolation(at, hall, true));
-                effects.add(new Effect.HallIsolation(end, hall, false));
+                effects.add(new Effect.HallIsolation(startMs, hall, true));
+                effects.add(new Effect.HallIsolation(endMs, hall, false));
             }
             case ANSWER_LOST ->
                 boxes.forEach(box -> {
-                    effects.add(new Effect.BoxAnswerLoss(at, box, LOST));
-                    effects.add(new Effect.BoxAnswerLoss(end, box, 0));
+                    effects.add(new Effect.BoxAnswerLoss(startMs, box, LOST_ANSWER_SHARE));
+                    effects.add(new Effect.BoxAnswerLoss(endMs, box, 0));
                 });
             case BALANCER_CRASH ->
                 fronts.forEach(front -> {
-                    effects.add(new Effect.FrontStops(at, front));
-                    effects.add(new Effect.FrontStarts(end, front));
+                    effects.add(new Effect.FrontStops(startMs, front));
+                    effects.add(new Effect.FrontStarts(endMs, front));
                 });
             case BALANCER_STALL ->
                 fronts.forEach(front -> {
-                    effects.add(new Effect.FrontPause(at, front, true));
-                    effects.add(new Effect.FrontPause(end, front, false));
+                    effects.add(new Effect.FrontPause(startMs, front, true));
+                    effects.add(new Effect.FrontPause(endMs, front, false));
                 });
             case DEPLOY -> {
                 for (int i = 0; i < boxes.size(); i++) {
-                    replace(at + trouble.forMs() * i / boxes.size(), boxes.get(i), DRAIN_MS);
+                    replace(startMs + trouble.forMs() * i / boxes.size(), boxes.get(i), DEPLOY_DRAIN_MS);
                 }
             }
-            case PREEMPT -> boxes.forEach(box -> replace(at, box, PREEMPT_MS));
+            case PREEMPT -> boxes.forEach(box -> replace(startMs, box, PREEMPTION_NOTICE_MS));
             case AGEING ->
                 boxes.forEach(box -> {
-                    for (int i = 0; i < AGES; i++) {
-                        effects.add(new Effect.BoxSlowdown(at + trouble.forMs() * i / AGES, box, 1 + 2 * i));
+                    for (int i = 0; i < AGEING_STEPS; i++) {
+                        effects.add(
+                                new Effect.BoxSlowdown(startMs + trouble.forMs() * i / AGEING_STEPS, box, 1 + 2 * i));
                     }
-                    effects.add(new Effect.BoxSlowdown(end, box, 1));
-                    effects.add(new Effect.BoxStops(end, box, "aged"));
-                    effects.add(new Effect.BoxStarts(end, box, false));
+                    effects.add(new Effect.BoxSlowdown(endMs, box, 1));
+                    effects.add(new Effect.BoxStops(endMs, box, "aged"));
+                    effects.add(new Effect.BoxStarts(endMs, box, false));
                 });
-            // Crowds are arrivals, not effects.
+            // Additional viewers are arrivals, not effects.
             case BURST, HOT_KEY -> {}
-            default -> throw new IllegalStateException("no effects for " + trouble.kind());
+            default -> throw new IllegalStateException("no effects are defined for trouble kind " + trouble.kind());
         }
     }
 
-    private void replace(double at, int box, double leaveMs) {
-        effects.add(new Effect.BoxDrains(at, box));
-        effects.add(new Effect.BoxStops(at + leaveMs, box, "replaced"));
-        effects.add(new Effect.BoxStarts(at + leaveMs + BACK_MS, box, false));
+    private void replace(double startMs, int box, double drainMs) {
+        effects.add(new Effect.BoxDrains(startMs, box));
+        effects.add(new Effect.BoxStops(startMs + drainMs, box, "replaced"));
+        effects.add(new Effect.BoxStarts(startMs + drainMs + RESTART_MS, box, false));
     }
 }
--- a/model/src/main/java/spanrill/model/trouble/package-info.java
+++ b/model/src/main/java/spanrill/model/trouble/package-info.java
@@ -1,2 +1,2 @@
-/** Troubles of a day and whom they hit, worked out before the day begins. */
+/** Troubles of a day and the effects that they have on boxes, racks, halls and fronts, computed in advance. */
 package spanrill.model.trouble;
--- a/model/src/test/java/spanrill/model/link/LinkNetworkTest.java
+++ b/model/src/test/java/spanrill/model/link/LinkNetworkTest.java
@@ -15,8 +15,8 @@
 import spanrill.model.link.LinkNetwork.Flow;
 
 class LinkNetworkTest {
-    /** Two racks of three boxes; what they give is drawn, now and then nothing at all. */
-    private static LinkNetwork network(Random random) {
+    /** Creates two racks of three boxes with random capacities, some of them 0. */
+    private static LinkNetwork randomNetwork(Random random) {
         LinkNetwork network = new LinkNetwork();
         for (int rack = 0; rack < 2; rack++) {
             network.addRack(random.nextInt(5) == 0 ? 0 : random.nextInt(4000));
@@ -27,27 +27,27 @@
         return network;
     }
 
-    /** The stated rule, worked out anew from what is asked and given. */
-    private static double expected(LinkNetwork network, int box) {
+    /** Computes the share of a box from the documented rule, the requested rates and the capacities. */
+    private static double expectedShare(LinkNetwork network, int box) {
         int rack = box / 3;
-        double through = 0;
+        double passedByLinks = 0;
         for (int other = rack * 3; other < rack * 3 + 3; other++) {
-            through += Math.min(network.requestedBytesPerS(other), network.linkCapacity(other));
+            passedByLinks += Math.min(network.requestedBytesPerS(other), network.linkCapacity(other));
         }
-        double own = network.requestedBytesPerS(box) <= network.linkCapacity(box)
+        double linkShare = network.requestedBytesPerS(box) <= network.linkCapacity(box)
                 ? 1
                 : (double) network.linkCapacity(box) / network.requestedBytesPerS(box);
-        return own * (through <= network.uplinkCapacity(rack) ? 1 : network.uplinkCapacity(rack) / through);
+        return linkShare
+                * (passedByLinks <= network.uplinkCapacity(rack) ? 1 : network.uplinkCapacity(rack) / passedByLinks);
     }
 
     /**
-     * After any changes, each share is what the rule says, and no link or uplink carries more than it
-     * gives.
+     * After any sequence of changes, each share follows the rule and no link or uplink carries more than its capacity.
      */
     @Property(tries = 400, seed = "20261201")
-    void sharesFollowTheRuleAfterAnyChanges(@ForAll long seed, @ForAll @IntRange(min = 1, max = 120) int changes) {
+    void sharesFollowTheRuleAfterRandomChanges(@ForAll long seed, @ForAll @IntRange(min = 1, max = 120) int changes) {
         Random random = new Random(seed);
-        LinkNetwork network = network(random);
+        LinkNetwork network = randomNetwork(random);
         List<Flow> flows = new ArrayList<>();
         double now = 0;
         for (int i = 0; i < changes; i++) {
@@ -65,45 +65,45 @@
                 }
             }
             for (int box = 0; box < 6; box++) {
-                assertEquals(expected(network, box), network.share(box), 1e-12);
+                assertEquals(expectedShare(network, box), network.share(box), 1e-12);
                 assertTrue(network.requestedBytesPerS(box) * network.share(box) <= network.linkCapacity(box) + 1e-6);
             }
             for (int rack = 0; rack < 2; rack++) {
                 double carried = 0;
-                double through = 0;
+                double passedByLinks = 0;
                 for (int box = rack * 3; box < rack * 3 + 3; box++) {
                     carried += network.requestedBytesPerS(box) * network.share(box);
-                    through += Math.min(network.requestedBytesPerS(box), network.linkCapacity(box));
+                    passedByLinks += Math.min(network.requestedBytesPerS(box), network.linkCapacity(box));
                 }
                 assertTrue(carried <= network.uplinkCapacity(rack) + 1e-6);
-                // Nothing is wasted that the rule doesn't say: an uplink is full, or lets all through.
-                assertEquals(Math.min(through, network.uplinkCapacity(rack)), carried, 1e-6);
+                // No capacity is left unused: an uplink is full or passes all that arrives.
+                assertEquals(Math.min(passedByLinks, network.uplinkCapacity(rack)), carried, 1e-6);
             }
         }
     }
 
-    /** The same flows in any order get the same shares, to the bit. */
+    /** The same flows get exactly the same shares whatever the order in which they are added. */
     @Property(tries = 200, seed = "20261201")
-    void sharesAreFreeOfOrder(@ForAll long seed) {
+    void sharesDoNotDependOnTheOrderOfChanges(@ForAll long seed) {
         List<int[]> flows = new ArrayList<>();
         Random random = new Random(seed);
         for (int i = 0; i < 40; i++) {
             flows.add(new int[] {random.nextInt(6), random.nextInt(900)});
         }
-        LinkNetwork one = network(new Random(seed));
-        flows.forEach(f -> one.addFlow(0, f[0], f[1]));
+        LinkNetwork inOrder = randomNetwork(new Random(seed));
+        flows.forEach(f -> inOrder.addFlow(0, f[0], f[1]));
         Collections.shuffle(flows, random);
-        LinkNetwork other = network(new Random(seed));
-        flows.forEach(f -> other.addFlow(0, f[0], f[1]));
-        Flow passing = other.addFlow(0, 2, 777);
-        other.removeFlow(0, passing);
+        LinkNetwork shuffled = randomNetwork(new Random(seed));
+        flows.forEach(f -> shuffled.addFlow(0, f[0], f[1]));
+        Flow temporary = shuffled.addFlow(0, 2, 777);
+        shuffled.removeFlow(0, temporary);
         for (int box = 0; box < 6; box++) {
-            assertEquals(one.share(box), other.share(box));
+            assertEquals(inOrder.share(box), shuffled.share(box));
         }
     }
 
     @Test
-    void anUplinkMayBeShortWhileItsLinksAreHalfEmpty() {
+    void uplinkLimitsFlowsWhenLinksHaveSpareCapacity() {
         LinkNetwork network = new LinkNetwork();
         int rack = network.addRack(1000);
         int a = network.addBox(rack, 2000);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aLinkThatDropsToAQuarterCutsAllItsFlowsAlike() {
+    void allFlowsOfALinkGetTheSameShareAfterItsCapacityDrops() {
         LinkNetwork network = new LinkNetwork();
         int rack = network.addRack(1_000_000);
         int box = network.addBox(rack, 40_000);
@@ -127,15 +127,15 @@
         network.setLinkCapacity(1000, box, 10_000);
         double share = 10_000.0 / network.requestedBytesPerS(box);
         for (Flow flow : flows) {
-            double inTheFirst = flow.rate();
-            assertEquals(inTheFirst + flow.rate() * share, network.grantedBytes(2000, flow), 1e-6);
+            double grantedBeforeDrop = flow.rate();
+            assertEquals(grantedBeforeDrop + flow.rate() * share, network.grantedBytes(2000, flow), 1e-6);
         }
         network.setLinkCapacity(2000, box, 40_000);
         assertEquals(1, network.share(box));
     }
 
     @Test
-    void whatIsGrantedAddsUpOverChangesOfRate() {
+    void grantedBytesAccumulateOverRateChanges() {
         LinkNetwork network = new LinkNetwork();
         int box = network.addBox(network.addRack(1000), 1000);
         Flow flow = network.addFlow(0, box, 400);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void aLinkThatGivesNothingGrantsNothing() {
+    void linkWithoutCapacityGrantsNoBytes() {
         LinkNetwork network = new LinkNetwork();
         int box = network.addBox(network.addRack(1000), 0);
         Flow flow = network.addFlow(0, box, 400);
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void timeAndRatesAreChecked() {
+    void decreasingTimeAndRatesOutOfRangeAreRejected() {
         LinkNetwork network = new LinkNetwork();
         int box = network.addBox(network.addRack(1000), 1000);
         network.addFlow(10, box, 1);
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void aBucketLetsCatchUpOnlyForAShortTime() {
+    void bucketHoldsAtMostTheBytesOfItsDepth() {
         FlowTokenBucket bucket = new FlowTokenBucket(100);
         bucket.addGranted(500, 1);
         assertEquals(100, bucket.availableBytes());
@@ -176,6 +176,6 @@
         assertEquals(50, bucket.availableBytes());
         bucket.consume(50);
         bucket.addGranted(551, 1);
-        assertEquals(1, bucket.availableBytes(), "fractions are kept");
+        assertEquals(1, bucket.availableBytes(), "fractions of bytes accumulate");
     }
 }
--- a/model/src/test/java/spanrill/model/player/PlayerTest.java
+++ b/model/src/test/java/spanrill/model/player/PlayerTest.java
@@ -27,7 +27,7 @@
         return player;
     }
 
-    /** Plays over a link of so many bits a second; gives the rungs that were fetched. */
+    /** Plays over a link with a rate of {@code bitsPerS} and returns the rungs of the fetched segments. */
     private static List<Integer> play(Player player, double bitsPerS, double untilMs) {
         List<Integer> rungs = new java.util.ArrayList<>();
         double now = 0;
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void bothRulesFindTheRungThatTheLinkCarries() {
+    void bothSelectorsConvergeToARungThatTheLinkSustains() {
         for (boolean bola : new boolean[] {false, true}) {
             List<Integer> rungs = play(player(60_000, bola), 5_000_000, 60_000);
             double mean = rungs.subList(rungs.size() / 2, rungs.size()).stream()
@@ -52,12 +52,12 @@
                     .average()
                     .orElse(0);
             assertTrue(mean > 1.2 && mean < 2.8, (bola ? "bola " : "throughput ") + rungs);
-            assertEquals(0, rungs.get(0), "the first segment is of the lowest rung");
+            assertEquals(0, rungs.get(0), "rung of the first segment");
         }
     }
 
     @Test
-    void onAWideLinkItPlaysToItsEndWithoutAStall() {
+    void playsToTheEndWithoutStallOnAFastLink() {
         Player player = player(20_000, false);
         play(player, 50_000_000, 60_000);
         assertEquals(0, player.stalls());
@@ -65,15 +65,15 @@
     }
 
     @Test
-    void onANarrowLinkItStallsAndLeaves() {
+    void stallsAndLeavesOnASlowLink() {
         Player player = player(120_000, false);
         List<Integer> rungs = play(player, 400_000, 120_000);
-        assertTrue(rungs.size() < 40, "it left after " + rungs.size() + " segments");
+        assertTrue(rungs.size() < 40, "the viewer left after " + rungs.size() + " segments, expected fewer than 40");
         assertTrue(player.stalls() > 0 && player.stalledMs() > 0);
     }
 
     @Test
-    void aSegmentThatNeverComesIsLeftInTheEnd() {
+    void viewerLeavesDuringAFetchThatNeverCompletes() {
         Player player = player(120_000, false);
         player.onPlaying(0, LADDER, 1000, 1000);
         player.onFetchStarted(0);
@@ -85,11 +85,11 @@
             next = player.checkPatience(now);
         }
         assertEquals(new Action.End(true), next);
-        assertTrue(now < 12_000, "after " + now);
+        assertTrue(now < 12_000, "time of leaving in ms: " + now);
     }
 
     @Test
-    void itEndsWhenItsTimeIsUpOrTheTitleIs() {
+    void sessionEndsAfterTheLastSegmentOfTheTitle() {
         Player player = player(5000, false);
         Action next = player.onPlaying(0, LADDER, 1000, 2);
         for (int i = 1; i <= 2; i++) {
@@ -100,25 +100,25 @@
     }
 
     @Test
-    void aRefusedViewerWaitsLongerEachTimeAndHonoursWhatItIsTold() {
-        RetryPolicy returning = new RetryPolicy(traits(1e9, 1, true, false, 3), RandomStreams.of(3), 100, 200);
-        double first = returning.nextDelayMs(1, true, 5000);
-        assertTrue(first >= 5000 && first <= 5200, "honoured, and spread: " + first);
-        RetryPolicy own = new RetryPolicy(traits(1e9, 1, false, false, 3), RandomStreams.of(3), 100, 200);
+    void retryDelayDoublesWithEachRefusalAndHonoursRetryAfter() {
+        RetryPolicy honouring = new RetryPolicy(traits(1e9, 1, true, false, 3), RandomStreams.of(3), 100, 200);
+        double first = honouring.nextDelayMs(1, true, 5000);
+        assertTrue(first >= 5000 && first <= 5200, "at least Retry-After plus a random time: " + first);
+        RetryPolicy ignoring = new RetryPolicy(traits(1e9, 1, false, false, 3), RandomStreams.of(3), 100, 200);
         double before = 0;
         for (int i = 0; i < 4; i++) {
-            double wait = own.nextDelayMs(1, true, 5000);
-            assertTrue(wait >= 100 * Math.pow(2, i) && wait <= 200 * Math.pow(2, i), i + ": " + wait);
-            assertTrue(wait > before * 0.9);
-            before = wait;
+            double delayMs = ignoring.nextDelayMs(1, true, 5000);
+            assertTrue(delayMs >= 100 * Math.pow(2, i) && delayMs <= 200 * Math.pow(2, i), i + ": " + delayMs);
+            assertTrue(delayMs > before * 0.9);
+            before = delayMs;
         }
-        own.onPlaying();
-        assertTrue(own.nextDelayMs(1, true, 0) <= 200);
-        assertEquals(-1, own.nextDelayMs(5, true, 0), "no more tries");
+        ignoring.onPlaying();
+        assertTrue(ignoring.nextDelayMs(1, true, 0) <= 200);
+        assertEquals(-1, ignoring.nextDelayMs(5, true, 0), "the maximum number of requests is reached");
     }
 
     @Test
-    void aPaidRequestWithoutAnAnswerIsNotMadeAgain() {
+    void paidRequestWithoutAnswerIsNotRepeated() {
         assertEquals(new Action.Done(), player(60_000, false).onConnectionLost(10, false));
         assertEquals(
                 true,
@@ -128,9 +128,9 @@
                 .newToken());
     }
 
-    /** What is held, played and stalled always adds up to the time that went by. */
+    /** Played plus buffered media equals the added media; played plus stalled time equals the time since the start. */
     @Property(tries = 300, seed = "20261201")
-    void theBufferLosesNoTime(@ForAll List<@DoubleRange(min = 0, max = 5000) Double> gaps) {
+    void bufferAccountsForAllMediaAndTime(@ForAll List<@DoubleRange(min = 0, max = 5000) Double> gaps) {
         PlaybackBuffer buffer = new PlaybackBuffer(500, 1500, 0);
         double now = 0;
         double added = 0;
@@ -148,29 +148,31 @@
         }
     }
 
-    /** BOLA asks for no lower rung when it holds more, and for the lowest when it holds nothing. */
+    /** BOLA does not select a lower rung at a higher buffer level, and the lowest rung at an empty buffer. */
     @Property(tries = 300, seed = "20261201")
-    void bolaRisesWithTheBuffer(
+    void bolaRungIsMonotonicInTheBufferLevel(
             @ForAll @DoubleRange(min = 0, max = 20_000) double a,
             @ForAll @DoubleRange(min = 0, max = 20_000) double b) {
         RungSelector bola = RungSelector.bola();
-        int low = bola.selectRung(new RungSelector.State(LADDER, Math.min(a, b), 20_000, 2000, Double.NaN));
-        int high = bola.selectRung(new RungSelector.State(LADDER, Math.max(a, b), 20_000, 2000, Double.NaN));
-        assertTrue(low <= high);
+        int rungAtLowerLevel =
+                bola.selectRung(new RungSelector.State(LADDER, Math.min(a, b), 20_000, 2000, Double.NaN));
+        int rungAtHigherLevel =
+                bola.selectRung(new RungSelector.State(LADDER, Math.max(a, b), 20_000, 2000, Double.NaN));
+        assertTrue(rungAtLowerLevel <= rungAtHigherLevel);
         assertEquals(0, bola.selectRung(new RungSelector.State(LADDER, 0, 20_000, 2000, Double.NaN)));
         assertEquals(3, bola.selectRung(new RungSelector.State(LADDER, 20_000, 20_000, 2000, Double.NaN)));
     }
 
     @Test
-    void viewersGoOnComingToADeadFrontForAWhile() {
-        FrontSelector choice = new FrontSelector(4, 2, 1000, 4000);
-        choice.markDown(0, 0);
-        assertEquals(0, choice.select(500, 0, 0.1));
-        assertEquals(2, choice.select(5000, 0, 0.1), "another of its hall");
-        choice.markDown(0, 2);
-        assertTrue(choice.select(9000, 0, 0.1) % 2 == 1, "one of another hall");
-        choice.markUp(0);
-        assertEquals(0, choice.select(9000, 0, 0.1));
+    void stoppedFrontIsSelectedUntilTheStopIsNoticed() {
+        FrontSelector selector = new FrontSelector(4, 2, 1000, 4000);
+        selector.markDown(0, 0);
+        assertEquals(0, selector.select(500, 0, 0.1));
+        assertEquals(2, selector.select(5000, 0, 0.1), "another front of the same hall");
+        selector.markDown(0, 2);
+        assertTrue(selector.select(9000, 0, 0.1) % 2 == 1, "a front of another hall");
+        selector.markUp(0);
+        assertEquals(0, selector.select(9000, 0, 0.1));
         assertEquals(0, new FrontSelector(1, 1, 0, 0).select(0, 0, 1));
     }
 }
