--- a/settings/src/main/java/spanrill/settings/Default.java
+++ b/settings/src/main/java/spanrill/settings/Default.java
@@ -5,10 +5,10 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** The value, as JSON, of a field that may be left out. */
+/** Makes a field optional and gives the value that applies when a settings file omits the field. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Default {
-    /** JSON text; {@code null} stands for no value. */
+    /** The value as JSON text; {@code null} leaves the record component null. */
     String value();
 }
--- a/settings/src/main/java/spanrill/settings/Range.java
+++ b/settings/src/main/java/spanrill/settings/Range.java
@@ -5,13 +5,13 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** Bounds of a number, or of the length of a text, list or map; both included. */
+/** Inclusive bounds of a number, or of the length of a string, list or map. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Range {
-    /** Least. */
+    /** Lower bound. */
     double min() default Double.NEGATIVE_INFINITY;
 
-    /** Most. */
+    /** Upper bound. */
     double max() default Double.POSITIVE_INFINITY;
 }
--- a/settings/src/main/java/spanrill/settings/Settings.java
+++ b/settings/src/main/java/spanrill/settings/Settings.java
@@ -12,44 +12,44 @@
 import sjsonnet.Interpreter;
 import sjsonnet.OsPath;
 
-/** Reads a settings file. */
+/** Reads settings files. */
 public final class Settings {
-    private static final long MOST_BYTES = 1 << 20;
+    private static final long MAX_FILE_BYTES = 1 << 20;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private Settings() {}
 
     /**
-     * Evaluates a Jsonnet file (imports are looked up beside it) and binds it.
+     * Evaluates a Jsonnet file and converts the result to a record. Imports are resolved relative to the file's folder.
      *
-     * @throws SettingsException when it can't be read, is no Jsonnet or doesn't fit, with the place
+     * @throws SettingsException when the file cannot be read, is not valid Jsonnet or does not match the schema
      */
     public static <T> T read(Path file, Class<T> schema) throws SettingsException {
         String source;
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new SettingsException(file + ": is larger than " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new SettingsException(file + ": is larger than " + MAX_FILE_BYTES + " bytes");
             }
             source = Files.readString(file, StandardCharsets.UTF_8);
         } catch (NoSuchFileException e) {
             throw new SettingsException(file + ": there is no such file");
         } catch (IOException e) {
-            throw new SettingsException(file + ": can't be read: " + e.getMessage());
+            throw new SettingsException(file + ": cannot be read: " + e.getMessage());
         }
         return bind(file, source, evaluate(file, source), schema);
     }
 
-    /** Evaluates a Jsonnet text to JSON; the file names its place for imports and messages. */
+    /** Evaluates a Jsonnet source to JSON; imports and error messages refer to the file. */
     static JsonNode evaluate(Path file, String source) throws SettingsException {
         Path absolute = file.toAbsolutePath().normalize();
-        OsPath path = FolderImporter.wrap(absolute);
-        OsPath folder = FolderImporter.wrap(absolute.getParent());
-        scala.collection.immutable.Map<String, String> none = scala.collection.immutable.Map$.MODULE$.empty();
+        OsPath path = FolderImporter.toOsPath(absolute);
+        OsPath folder = FolderImporter.toOsPath(absolute.getParent());
+        scala.collection.immutable.Map<String, String> noVariables = scala.collection.immutable.Map$.MODULE$.empty();
         scala.util.Either<String, ujson.Value> result;
         try {
             Interpreter interpreter = new Interpreter(
-                    none,
-                    none,
+                    noVariables,
+                    noVariables,
                     folder,
                     new FolderImporter(),
                     new DefaultParseCache(),
@@ -59,7 +59,7 @@
                     Interpreter.$lessinit$greater$default$9());
             result = interpreter.interpret(source, path);
         } catch (StackOverflowError e) {
-            throw new SettingsException(file + ": nests or recurses too deeply");
+            throw new SettingsException(file + ": is nested or recurses too deeply");
         }
         if (result.isLeft()) {
             String reason = result.left().toOption().get();
@@ -69,15 +69,15 @@
         try {
             return JSON.readTree(ujson.package$.MODULE$.write(result.toOption().get(), -1, false));
         } catch (JsonProcessingException e) {
-            throw new SettingsException(file + ": gives no JSON: " + e.getOriginalMessage());
+            throw new SettingsException(file + ": does not evaluate to JSON: " + e.getOriginalMessage());
         }
     }
 
     private static <T> T bind(Path file, String source, JsonNode node, Class<T> schema) throws SettingsException {
         try {
             return schema.cast(Binder.bind(node, schema, null, ""));
-        } catch (Binder.Misfit e) {
-            int line = new Places(source).line(e.path);
+        } catch (Binder.SchemaMismatchException e) {
+            int line = new FieldLocator(source).findLine(e.path);
             throw new SettingsException(file + (line > 0 ? ":" + line : "") + ": "
                     + (e.path.isEmpty() ? "" : "field " + e.path + ": ") + e.getMessage());
         }
--- a/settings/src/main/java/spanrill/settings/package-info.java
+++ b/settings/src/main/java/spanrill/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Settings: Jsonnet files (evaluated by sjsonnet) checked against typed records. A record is the schema: its
- * components are the fields, {@link spanrill.settings.Default} gives a field that may be left out its value,
- * {@link spanrill.settings.Range} its bounds. Whatever doesn't fit is told with file, line, field and reason.
+ * Settings files in Jsonnet, evaluated by sjsonnet and checked against typed records. A record is the schema: its
+ * components are the fields, {@link spanrill.settings.Default} makes a field optional, and
+ * {@link spanrill.settings.Range} gives its bounds. An error names the file, line, field and reason.
  */
 package spanrill.settings;
--- a/settings/src/test/java/spanrill/settings/SettingsTest.java
+++ b/settings/src/test/java/spanrill/settings/SettingsTest.java
@@ -42,9 +42,9 @@
     @TempDir
     Path folder;
 
-    private Outer read(String text) throws SettingsException, IOException {
+    private Outer read(String source) throws SettingsException, IOException {
         Path file = folder.resolve("x.jsonnet");
-        Files.writeString(file, text);
+        Files.writeString(file, source);
         return Settings.read(file, Outer.class);
     }
 
@@ -70,7 +70,7 @@
             delimiter = '|',
             value = {
                 "{\\n name: 'n',\\n listen: {\\n  port: 70000 } }|x.jsonnet:4: field listen.port: value must be",
-                "{\\n name: 'n',\\n listen: { prt: 1 } }|x.jsonnet:3: field listen.prt: is not known here",
+                "{\\n name: 'n',\\n listen: { prt: 1 } }|x.jsonnet:3: field listen.prt: is not a known field",
                 "{ listen: { port: 1 } }|x.jsonnet: field name: is missing",
                 "{ name: 'n', listen: { port: 1 },\\n\\n mode: 'quick' }|x.jsonnet:3: field mode: must be one of",
                 "{ name: 'n', listen: { port: 1.5 } }|field listen.port: must be a whole number",
@@ -81,9 +81,9 @@
                 "{ name: '', listen: { port: 1 } }|field name: length must be at least 1, is 0",
                 "[1]|must be an object"
             })
-    void tellsPlaceAndReason(String text, String message) throws Exception {
-        SettingsException fault = assertThrows(SettingsException.class, () -> read(text.replace("\\n", "\n")));
-        assertTrue(fault.getMessage().contains(message), fault.getMessage());
+    void mismatchMessageNamesLineFieldAndReason(String text, String message) throws Exception {
+        SettingsException failure = assertThrows(SettingsException.class, () -> read(text.replace("\\n", "\n")));
+        assertTrue(failure.getMessage().contains(message), failure.getMessage());
     }
 
     @ParameterizedTest
@@ -94,18 +94,18 @@
                 "{ name: 'a' + missing }|missing",
                 "local f(x) = f(x + 1) + 1; { name: f(0) }|x.jsonnet",
                 "import 'nowhere.libsonnet'|nowhere",
-                "{ name: error 'own word' }|own word"
+                "{ name: error 'custom message' }|custom message"
             })
-    void badJsonnetIsToldNotThrown(String text, String message) throws Exception {
-        SettingsException fault = assertThrows(SettingsException.class, () -> read(text));
-        assertTrue(fault.getMessage().contains(message), fault.getMessage());
-        assertTrue(!fault.getMessage().contains("\n"));
+    void invalidJsonnetIsReportedOnOneLine(String text, String message) throws Exception {
+        SettingsException failure = assertThrows(SettingsException.class, () -> read(text));
+        assertTrue(failure.getMessage().contains(message), failure.getMessage());
+        assertTrue(!failure.getMessage().contains("\n"));
     }
 
     @Test
-    void aMissingFileIsTold() {
-        SettingsException fault =
+    void missingFileIsReported() {
+        SettingsException failure =
                 assertThrows(SettingsException.class, () -> Settings.read(folder.resolve("none.jsonnet"), Outer.class));
-        assertTrue(fault.getMessage().endsWith("there is no such file"));
+        assertTrue(failure.getMessage().endsWith("there is no such file"));
     }
 }
