--- a/results/src/main/java/spanrill/results/Charts.java
+++ b/results/src/main/java/spanrill/results/Charts.java
@@ -14,72 +14,72 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws what rows tell, as PNG files. */
+/** Draws the rows of a run as charts in PNG files. */
 public final class Charts {
-    private static final int WIDTH = 1000;
-    private static final int HEIGHT = 420;
+    private static final int WIDTH_PX = 1000;
+    private static final int HEIGHT_PX = 420;
 
     private Charts() {}
 
-    /** Draws all pictures into a folder. */
+    /** Draws the charts of rates, shares, rungs, answers and stalls into a folder. */
     public static void writeRunCharts(Path folder, List<SecondRow> seconds, List<CountRow> counts) throws IOException {
         System.setProperty("java.awt.headless", "true");
-        offered(folder, seconds);
-        shares(folder, seconds);
-        rungs(folder, seconds);
-        XYChart answers = chart("Requests and answers", "a second");
-        line(answers, "requests", counts, CountRow::asked);
-        line(answers, "plays", counts, CountRow::plays);
-        line(answers, "refused", counts, CountRow::refused);
-        line(answers, "failed", counts, CountRow::failed);
-        line(answers, "of viewers that came again", counts, CountRow::returns);
+        drawOfferedLoad(folder, seconds);
+        drawShares(folder, seconds);
+        drawRungs(folder, seconds);
+        XYChart answers = chart("Requests and answers", "per second");
+        addLine(answers, "requests", counts, CountRow::asked);
+        addLine(answers, "plays", counts, CountRow::plays);
+        addLine(answers, "refused", counts, CountRow::refused);
+        addLine(answers, "failed", counts, CountRow::failed);
+        addLine(answers, "requests of returning viewers", counts, CountRow::returns);
         save(answers, folder, "answers");
-        XYChart stalls = chart("Sessions and stalls", "sessions, s of stall a second");
-        line(stalls, "sessions at boxes", counts, CountRow::playing);
-        line(stalls, "stalled", counts, c -> c.stalledMs() / 1000.0);
+        XYChart stalls = chart("Sessions and stalls", "sessions, seconds of stall per second");
+        addLine(stalls, "sessions at boxes", counts, CountRow::playing);
+        addLine(stalls, "stalled", counts, c -> c.stalledMs() / 1000.0);
         save(stalls, folder, "stalls");
     }
 
-    /** Draws how long viewers waited for their first play, and why sessions ended early. */
+    /** Draws the time to the first play for each class, and the early session ends by cause. */
     public static void writeViewerCharts(Path folder, List<ViewerRow> viewers, List<EndRow> ends) throws IOException {
         System.setProperty("java.awt.headless", "true");
-        XYChart waits = chart("Viewers who play, by the time since they came", "share of the class's viewers");
+        XYChart waits = chart("Viewers who play, by time since arrival", "share of the class's viewers");
         waits.getStyler().setYAxisMax(1.0);
         TreeMap<String, List<ViewerRow>> classes = new TreeMap<>();
         viewers.forEach(
                 v -> classes.computeIfAbsent(v.cls(), k -> new ArrayList<>()).add(v));
-        classes.forEach((cls, all) -> {
-            double[] played = all.stream()
+        classes.forEach((serviceClass, rows) -> {
+            double[] firstPlayMs = rows.stream()
                     .mapToDouble(ViewerRow::firstPlayMs)
                     .filter(ms -> ms >= 0)
                     .sorted()
                     .toArray();
             List<Double> x = new ArrayList<>();
             List<Double> y = new ArrayList<>();
-            for (int i = 0; i < played.length; i++) {
-                x.add(played[i] / 1000);
-                y.add((i + 1.0) / all.size());
+            for (int i = 0; i < firstPlayMs.length; i++) {
+                x.add(firstPlayMs[i] / 1000);
+                y.add((i + 1.0) / rows.size());
             }
-            series(waits, cls, x, y);
+            addSeries(waits, serviceClass, x, y);
         });
         save(waits, folder, "waits");
-        XYChart early = chart("Sessions that ended early, so far, by cause", "sessions");
+        XYChart earlyEnds = chart("Sessions ended early, cumulative, by cause", "sessions");
         TreeMap<String, TreeMap<Integer, Integer>> causes = new TreeMap<>();
         ends.forEach(
                 end -> causes.computeIfAbsent(end.cause(), k -> new TreeMap<>()).merge(end.second(), 1, Integer::sum));
         causes.forEach((cause, seconds) -> {
-            List<Integer> sums = new ArrayList<>();
-            int sum = 0;
+            List<Integer> totals = new ArrayList<>();
+            int total = 0;
             for (int count : seconds.values()) {
-                sum += count;
-                sums.add(sum);
+                total += count;
+                totals.add(total);
             }
-            series(early, cause, new ArrayList<>(seconds.keySet()), sums);
+            addSeries(earlyEnds, cause, new ArrayList<>(seconds.keySet()), totals);
         });
-        save(early, folder, "ended-early");
+        save(earlyEnds, folder, "ended-early");
     }
 
-    private static void offered(Path folder, List<SecondRow> rows) throws IOException {
+    private static void drawOfferedLoad(Path folder, List<SecondRow> rows) throws IOException {
         TreeMap<Integer, double[]> sums = new TreeMap<>();
         for (SecondRow row : rows) {
             double[] sum = sums.computeIfAbsent(row.second(), k -> new double[3]);
@@ -87,11 +87,11 @@
             sum[1] += row.granted() / row.ms() / 1000;
             sum[2] += row.received() / row.ms() / 1000;
         }
-        XYChart chart = chart("Offered against served", "MB a second on the sockets");
-        String[] names = {"asked", "granted by the model", "received by viewers"};
+        XYChart chart = chart("Offered and delivered rates", "MB per second on the sockets");
+        String[] names = {"requested", "granted by the model", "received by viewers"};
         for (int i = 0; i < names.length; i++) {
             int column = i;
-            series(
+            addSeries(
                     chart,
                     names[i],
                     new ArrayList<>(sums.keySet()),
@@ -100,7 +100,7 @@
         save(chart, folder, "offered");
     }
 
-    private static void shares(Path folder, List<SecondRow> rows) throws IOException {
+    private static void drawShares(Path folder, List<SecondRow> rows) throws IOException {
         TreeMap<Integer, TreeMap<Integer, double[]>> racks = new TreeMap<>();
         for (SecondRow row : rows) {
             double[] sum = racks.computeIfAbsent(row.rack(), k -> new TreeMap<>())
@@ -108,8 +108,8 @@
             sum[0] += row.grantedShare() * row.asked();
             sum[1] += row.asked();
         }
-        XYChart chart = chart("Share of their rates that sessions got, by rack", "share");
-        racks.forEach((rack, seconds) -> series(
+        XYChart chart = chart("Granted share of the requested rates, by rack", "share");
+        racks.forEach((rack, seconds) -> addSeries(
                 chart,
                 "rack " + rack,
                 new ArrayList<>(seconds.keySet()),
@@ -120,23 +120,23 @@
         save(chart, folder, "shares");
     }
 
-    private static void rungs(Path folder, List<SecondRow> rows) throws IOException {
+    private static void drawRungs(Path folder, List<SecondRow> rows) throws IOException {
         TreeMap<Integer, Map<Integer, Integer>> byRung = new TreeMap<>();
-        TreeMap<Integer, Integer> all = new TreeMap<>();
+        TreeMap<Integer, Integer> sessions = new TreeMap<>();
         for (SecondRow row : rows) {
             byRung.computeIfAbsent(row.rung(), k -> new TreeMap<>()).merge(row.second(), 1, Integer::sum);
-            all.merge(row.second(), 1, Integer::sum);
+            sessions.merge(row.second(), 1, Integer::sum);
         }
-        XYChart chart = chart("Sessions by rung", "sessions, the rungs below included");
+        XYChart chart = chart("Sessions by rung", "sessions at this rung or below");
         chart.getStyler().setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Area);
-        // Painted from the highest down, so that each area ends where the next begins.
+        // Areas are cumulative and drawn from the highest rung down, so that each visible band is one rung.
         List<Integer> rungs = new ArrayList<>(byRung.descendingKeySet());
         for (int rung : rungs) {
-            series(
+            addSeries(
                     chart,
                     "rung " + rung,
-                    new ArrayList<>(all.keySet()),
-                    all.keySet().stream()
+                    new ArrayList<>(sessions.keySet()),
+                    sessions.keySet().stream()
                             .map(second -> {
                                 double sum = 0;
                                 for (Map.Entry<Integer, Map<Integer, Integer>> entry :
@@ -152,8 +152,8 @@
 
     private static XYChart chart(String title, String unit) {
         XYChart chart = new XYChartBuilder()
-                .width(WIDTH)
-                .height(HEIGHT)
+                .width(WIDTH_PX)
+                .height(HEIGHT_PX)
                 .title(title)
                 .xAxisTitle("s")
                 .yAxisTitle(unit)
@@ -163,15 +163,15 @@
         return chart;
     }
 
-    private static void line(XYChart chart, String name, List<CountRow> rows, ToDoubleFunction<CountRow> value) {
-        series(
+    private static void addLine(XYChart chart, String name, List<CountRow> rows, ToDoubleFunction<CountRow> value) {
+        addSeries(
                 chart,
                 name,
                 rows.stream().map(CountRow::second).toList(),
                 rows.stream().map(value::applyAsDouble).toList());
     }
 
-    private static void series(XYChart chart, String name, List<? extends Number> x, List<? extends Number> y) {
+    private static void addSeries(XYChart chart, String name, List<? extends Number> x, List<? extends Number> y) {
         if (!x.isEmpty()) {
             chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
         }
--- a/results/src/main/java/spanrill/results/EndRow.java
+++ b/results/src/main/java/spanrill/results/EndRow.java
@@ -1,10 +1,10 @@
 package spanrill.results;
 
 /**
- * A playing session that ended before its viewer wished it.
+ * An established session that ended before its viewer wanted to stop.
  *
- * @param second from the start of the run
- * @param cls class of session
- * @param cause what ended it
+ * @param second second since the start of the run
+ * @param cls class of the session
+ * @param cause cause of the end
  */
 public record EndRow(int second, String cls, String cause) {}
--- a/results/src/main/java/spanrill/results/KendallTau.java
+++ b/results/src/main/java/spanrill/results/KendallTau.java
@@ -4,37 +4,38 @@
 import java.util.SplittableRandom;
 
 /**
- * Rank correlation of two lists of figures about the same things: tau-b, which allows for ties (Kendall, The
+ * Rank correlation of two lists of values for the same items: Kendall's tau-b, which accounts for ties (Kendall, The
  * Treatment of Ties in Ranking Problems, Biometrika 33, 1945), with a percentile bootstrap interval (Efron
  * and Tibshirani, 1993).
  *
- * @param tau from -1 (the other way round) to 1 (the same order)
- * @param low lower end of the interval that holds 95% of the resampled figures
- * @param high upper end of it
+ * @param tau the coefficient, from -1 (reversed order) to 1 (same order)
+ * @param low lower bound of the 95% interval of the resampled coefficients
+ * @param high upper bound of that interval
  */
 public record KendallTau(double tau, double low, double high) {
     private static final int RESAMPLES = 2000;
 
     /**
-     * The correlation.
+     * Computes the correlation; equal seeds give equal intervals.
      *
-     * @throws IllegalArgumentException when the lists differ in length or have fewer than three figures
+     * @throws IllegalArgumentException when the lists differ in length or have fewer than three values
      */
     public static KendallTau of(double[] a, double[] b, long seed) {
         if (a.length != b.length || a.length < 3) {
-            throw new IllegalArgumentException("ranks need two lists of one length, of three or more");
+            throw new IllegalArgumentException(
+                    "rank correlation needs two lists of equal length with at least three values");
         }
         SplittableRandom random = new SplittableRandom(seed);
         double[] resampled = new double[RESAMPLES];
-        double[] x = new double[a.length];
-        double[] y = new double[a.length];
+        double[] sampleA = new double[a.length];
+        double[] sampleB = new double[a.length];
         for (int i = 0; i < RESAMPLES; i++) {
             for (int j = 0; j < a.length; j++) {
-                int drawn = random.nextInt(a.length);
-                x[j] = a[drawn];
-                y[j] = b[drawn];
+                int index = random.nextInt(a.length);
+                sampleA[j] = a[index];
+                sampleB[j] = b[index];
             }
-            resampled[i] = tau(x, y);
+            resampled[i] = tau(sampleA, sampleB);
         }
         Arrays.sort(resampled);
         return new KendallTau(
@@ -42,18 +43,20 @@
     }
 
     private static double tau(double[] a, double[] b) {
-        long agree = 0;
-        long pairsA = 0;
-        long pairsB = 0;
+        long concordantMinusDiscordant = 0;
+        long untiedPairsA = 0;
+        long untiedPairsB = 0;
         for (int i = 0; i < a.length; i++) {
             for (int j = i + 1; j < a.length; j++) {
-                int x = Double.compare(a[i], a[j]);
-                int y = Double.compare(b[i], b[j]);
-                agree += Integer.signum(x) * Integer.signum(y);
-                pairsA += x != 0 ? 1 : 0;
-                pairsB += y != 0 ? 1 : 0;
+                int orderA = Double.compare(a[i], a[j]);
+                int orderB = Double.compare(b[i], b[j]);
+                concordantMinusDiscordant += Integer.signum(orderA) * Integer.signum(orderB);
+                untiedPairsA += orderA != 0 ? 1 : 0;
+                untiedPairsB += orderB != 0 ? 1 : 0;
             }
         }
-        return pairsA == 0 || pairsB == 0 ? 0 : agree / Math.sqrt((double) pairsA * pairsB);
+        return untiedPairsA == 0 || untiedPairsB == 0
+                ? 0
+                : concordantMinusDiscordant / Math.sqrt((double) untiedPairsA * untiedPairsB);
     }
 }
--- a/results/src/main/java/spanrill/results/ParquetRows.java
+++ b/results/src/main/java/spanrill/results/ParquetRows.java
@@ -12,29 +12,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes rows of one kind to a Parquet file, on a thread of its own so that the loops never wait for a
- * disk. At
- * most {@value #WAITING} rows wait; those beyond are dropped and counted.
+ * Writes rows of one type to a Parquet file, on a separate thread so that event loops never wait for the disk. At most
+ * {@value #MAX_QUEUED_ROWS} rows are queued; further rows are dropped and counted.
  */
 public final class ParquetRows<T extends Record> implements AutoCloseable {
-    /** Rows that may wait. */
-    public static final int WAITING = 200_000;
+    /** Maximum number of queued rows. */
+    public static final int MAX_QUEUED_ROWS = 200_000;
 
-    private final BlockingQueue<T> queue = new ArrayBlockingQueue<>(WAITING);
+    private final BlockingQueue<T> queue = new ArrayBlockingQueue<>(MAX_QUEUED_ROWS);
     private final Thread thread;
     private volatile boolean closing;
-    private volatile IOException fault;
+    private volatile IOException failure;
     private volatile long dropped;
 
-    /** Writes to a file. */
-    public ParquetRows(Path file, Class<T> kind) {
-        thread = new Thread(() -> write(file, kind), "rows-" + file.getFileName());
+    /** Starts the thread that writes the file. */
+    public ParquetRows(Path file, Class<T> rowType) {
+        thread = new Thread(() -> write(file, rowType), "rows-" + file.getFileName());
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void write(Path file, Class<T> kind) {
-        try (CarpetWriter<T> writer = new CarpetWriter<>(new FileSystemOutputFile(file.toFile()), kind)) {
+    private void write(Path file, Class<T> rowType) {
+        try (CarpetWriter<T> writer = new CarpetWriter<>(new FileSystemOutputFile(file.toFile()), rowType)) {
             while (!closing || !queue.isEmpty()) {
                 T row = queue.poll(50, TimeUnit.MILLISECONDS);
                 if (row != null) {
@@ -42,25 +41,29 @@
                 }
             }
         } catch (IOException e) {
-            fault = e;
+            failure = e;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Adds a row. */
+    /** Queues a row, or drops and counts it when the queue is full. */
     public void add(T row) {
         if (!queue.offer(row)) {
             dropped++;
         }
     }
 
-    /** Rows that were dropped. */
+    /** Number of rows dropped because the queue was full. */
     public long dropped() {
         return dropped;
     }
 
-    /** Writes what is left. */
+    /**
+     * Writes the queued rows and closes the file.
+     *
+     * @throws IOException when the file could not be written
+     */
     @Override
     public void close() throws IOException {
         closing = true;
@@ -69,25 +72,25 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (fault != null) {
-            throw fault;
+        if (failure != null) {
+            throw failure;
         }
     }
 
     /**
      * Reads the rows of a file.
      *
-     * @throws IOException with the reason when it is no such file
+     * @throws IOException when the file does not exist or is not a Parquet file of this row type
      */
-    public static <T extends Record> List<T> read(Path file, Class<T> kind) throws IOException {
+    public static <T extends Record> List<T> read(Path file, Class<T> rowType) throws IOException {
         if (!Files.isRegularFile(file)) {
             throw new IOException(file + ": there is no such file");
         }
         try {
-            return new CarpetReader<>(file.toFile(), kind).toList();
+            return new CarpetReader<>(file.toFile(), rowType).toList();
         } catch (RuntimeException e) {
             throw new IOException(
-                    file + ": is no Parquet file of " + kind.getSimpleName() + ": "
+                    file + ": is no Parquet file of " + rowType.getSimpleName() + ": "
                             + String.valueOf(e.getMessage()).split("\\R")[0],
                     e);
         }
--- a/results/src/main/java/spanrill/results/ShareCheck.java
+++ b/results/src/main/java/spanrill/results/ShareCheck.java
@@ -9,38 +9,38 @@
 import java.util.Set;
 
 /**
- * Recomputes from rows alone what the stated rule gives each session, and compares it with what was received.
- * The rule: a link that is asked for more than it gives lets every session through with the same share; an
- * uplink that is asked for more than it gives, by what links let through, cuts them all once more by the
- * same.
+ * Recomputes from the rows alone the rate that the sharing rule gives each session, and compares this rate with the
+ * bytes received. The rule: on a link whose demand exceeds its capacity, every session gets the same share of its
+ * requested rate. On an uplink where the demand that the links let through exceeds the capacity, every session's rate
+ * is reduced once more by one common share.
  *
- * <p>Judged are session-seconds on overloaded links (share under 0.98) in which the session asked all the
- * time
- * and nothing changed in its rack; those with changes are compared with the model's own account.
+ * <p>The check covers session-seconds with an overloaded link or uplink (granted share below {@value #OVERLOAD_SHARE})
+ * in which the session requested bytes all the time. Seconds without a change in the rack are compared with the rule;
+ * all of them are compared with the grants that the model recorded.
  */
 public final class ShareCheck {
-    /** Under this share a link counts as overloaded. */
-    public static final double OVERLOADED = 0.98;
+    /** A granted share below this value counts as overload. */
+    public static final double OVERLOAD_SHARE = 0.98;
 
     /**
-     * Errors of one comparison.
+     * Relative errors of one comparison.
      *
-     * @param count session-seconds
-     * @param median of the relative errors
-     * @param p95 95th percentile of them
-     * @param mean signed mean: a bias shows here
+     * @param count number of session-seconds
+     * @param median median of the absolute errors
+     * @param p95 95th percentile of the absolute errors
+     * @param mean mean of the signed errors, which shows a bias
      */
     public record Errors(long count, double median, double p95, double mean) {}
 
     /**
-     * What came of it.
+     * Result of the check.
      *
-     * @param receivedVsRule received against the rule recomputed from rows, in steady seconds
-     * @param receivedVsModel received against the model's account, in all seconds
-     * @param modelVsRule the model's account against the rule recomputed, in steady seconds
+     * @param receivedVsRule received bytes against the rule recomputed from rows, in seconds without a change
+     * @param receivedVsModel received bytes against the model's grants, in all seconds
+     * @param modelVsRule the model's grants against the rule recomputed from rows, in seconds without a change
      */
     public record Result(Errors receivedVsRule, Errors receivedVsModel, Errors modelVsRule) {
-        /** True when the medians are under 2% and the 95th percentiles under 5%, over something. */
+        /** True when rows were compared and, for received bytes, medians are below 2% and 95th percentiles below 5%. */
         public boolean passed() {
             return receivedVsRule.count() > 0
                     && receivedVsRule.median() < 0.02
@@ -50,62 +50,64 @@
         }
     }
 
-    private record At(int second, int place) {}
+    /** Identifies a box or a rack in one second. */
+    private record SecondKey(int second, int id) {}
 
     private ShareCheck() {}
 
-    /** Judges rows. */
+    /** Checks the rows of a run. */
     public static Result check(List<SecondRow> rows) {
-        Map<At, Long> asked = new HashMap<>();
-        Map<At, Long> gives = new HashMap<>();
-        Map<At, Set<Integer>> boxes = new HashMap<>();
+        Map<SecondKey, Long> requestedByBox = new HashMap<>();
+        Map<SecondKey, Long> linkCapacities = new HashMap<>();
+        Map<SecondKey, Set<Integer>> boxesByRack = new HashMap<>();
         for (SecondRow row : rows) {
-            At box = new At(row.second(), row.box());
-            asked.merge(box, row.asked(), Long::sum);
-            gives.put(box, row.linkGives());
-            boxes.computeIfAbsent(new At(row.second(), row.rack()), k -> new HashSet<>())
+            SecondKey box = new SecondKey(row.second(), row.box());
+            requestedByBox.merge(box, row.asked(), Long::sum);
+            linkCapacities.put(box, row.linkGives());
+            boxesByRack
+                    .computeIfAbsent(new SecondKey(row.second(), row.rack()), k -> new HashSet<>())
                     .add(row.box());
         }
-        Map<At, Long> through = new HashMap<>();
-        boxes.forEach((rack, members) -> {
+        Map<SecondKey, Long> demandByRack = new HashMap<>();
+        boxesByRack.forEach((rack, boxes) -> {
             long sum = 0;
-            for (int box : members) {
-                At at = new At(rack.second(), box);
-                sum += Math.min(asked.get(at), gives.get(at));
+            for (int box : boxes) {
+                SecondKey key = new SecondKey(rack.second(), box);
+                sum += Math.min(requestedByBox.get(key), linkCapacities.get(key));
             }
-            through.put(rack, sum);
+            demandByRack.put(rack, sum);
         });
-        List<Double> rule = new ArrayList<>();
-        List<Double> account = new ArrayList<>();
-        List<Double> model = new ArrayList<>();
+        List<Double> receivedVsRule = new ArrayList<>();
+        List<Double> receivedVsModel = new ArrayList<>();
+        List<Double> modelVsRule = new ArrayList<>();
         for (SecondRow row : rows) {
-            if (!row.busy() || !row.cut() || row.grantedShare() >= OVERLOADED || row.granted() < 1) {
+            if (!row.busy() || !row.cut() || row.grantedShare() >= OVERLOAD_SHARE || row.granted() < 1) {
                 continue;
             }
-            account.add(row.received() / row.granted() - 1);
+            receivedVsModel.add(row.received() / row.granted() - 1);
             if (row.steady()) {
-                long all = asked.get(new At(row.second(), row.box()));
-                long passed = through.get(new At(row.second(), row.rack()));
-                double share =
-                        Math.min(1, (double) row.linkGives() / all) * Math.min(1, (double) row.uplinkGives() / passed);
+                long linkDemand = requestedByBox.get(new SecondKey(row.second(), row.box()));
+                long rackDemand = demandByRack.get(new SecondKey(row.second(), row.rack()));
+                double share = Math.min(1, (double) row.linkGives() / linkDemand)
+                        * Math.min(1, (double) row.uplinkGives() / rackDemand);
                 double expected = row.asked() * share * row.ms() / 1000;
-                rule.add(row.received() / expected - 1);
-                model.add(row.granted() / expected - 1);
+                receivedVsRule.add(row.received() / expected - 1);
+                modelVsRule.add(row.granted() / expected - 1);
             }
         }
-        return new Result(errors(rule), errors(account), errors(model));
+        return new Result(errors(receivedVsRule), errors(receivedVsModel), errors(modelVsRule));
     }
 
     private static Errors errors(List<Double> signed) {
         if (signed.isEmpty()) {
             return new Errors(0, Double.NaN, Double.NaN, Double.NaN);
         }
-        double[] sizes = signed.stream().mapToDouble(Math::abs).toArray();
-        Arrays.sort(sizes);
+        double[] absolute = signed.stream().mapToDouble(Math::abs).toArray();
+        Arrays.sort(absolute);
         return new Errors(
-                sizes.length,
-                sizes[sizes.length / 2],
-                sizes[(int) Math.min(sizes.length - 1, Math.ceil(sizes.length * 0.95) - 1)],
+                absolute.length,
+                absolute[absolute.length / 2],
+                absolute[(int) Math.min(absolute.length - 1, Math.ceil(absolute.length * 0.95) - 1)],
                 signed.stream().mapToDouble(Double::doubleValue).average().orElse(0));
     }
 }
--- a/results/src/main/java/spanrill/results/ViewerRow.java
+++ b/results/src/main/java/spanrill/results/ViewerRow.java
@@ -3,11 +3,12 @@
 /**
  * One viewer of a run.
  *
- * @param viewer its name
- * @param cls class of session that it wants
- * @param cameMs when it came, ms from the start
- * @param firstPlayMs from then to its first play, waits between tries included; -1 when it never played
- * @param asks requests that it wrote
- * @param went why it doesn't come again, empty when it was still there at the end
+ * @param viewer name of the viewer
+ * @param cls class of the session that the viewer requests
+ * @param cameMs time at which the viewer arrived, in ms since the start of the run
+ * @param firstPlayMs time from the arrival to the first play, waits between requests included, in ms; -1 when the
+ *     viewer never played
+ * @param asks number of requests that the viewer sent
+ * @param went reason why the viewer left for good; empty when the viewer was still present at the end of the run
  */
 public record ViewerRow(String viewer, String cls, double cameMs, double firstPlayMs, int asks, String went) {}
--- a/results/src/main/java/spanrill/results/package-info.java
+++ b/results/src/main/java/spanrill/results/package-info.java
@@ -1,2 +1,2 @@
-/** What a run measured, as rows in Parquet; the check of shares that reads them back; pictures. */
+/** Measurements of a run as rows in Parquet files, the check of bandwidth shares on these rows, and charts. */
 package spanrill.results;
--- a/results/src/test/java/spanrill/results/ResultsTest.java
+++ b/results/src/test/java/spanrill/results/ResultsTest.java
@@ -17,8 +17,11 @@
     @TempDir
     Path folder;
 
-    /** Two boxes of a rack, whose links let 1,000 and 500 through to an uplink of 900; off by a factor. */
-    private static List<SecondRow> rows(double off) {
+    /**
+     * Rows of two boxes in one rack, whose links pass 1,000 and 500 bytes per second to an uplink of 900. Received bytes
+     * are the granted bytes times a factor.
+     */
+    private static List<SecondRow> rows(double receivedFactor) {
         List<SecondRow> rows = new ArrayList<>();
         for (int second = 1; second <= 50; second++) {
             for (int i = 0; i < 4; i++) {
@@ -35,7 +38,7 @@
                         1000,
                         900,
                         granted / 2 * 1.0,
-                        Math.round(granted / 2 * off),
+                        Math.round(granted / 2 * receivedFactor),
                         1000,
                         true,
                         true,
@@ -53,7 +56,7 @@
                     1000,
                     900,
                     300,
-                    Math.round(300 * off),
+                    Math.round(300 * receivedFactor),
                     1000,
                     true,
                     true,
@@ -63,7 +66,7 @@
     }
 
     @Test
-    void sharesThatFollowTheRuleAreHeld() {
+    void checkPassesWhenSharesFollowTheRule() {
         ShareCheck.Result result = ShareCheck.check(rows(1));
         assertEquals(250, result.receivedVsRule().count());
         assertTrue(result.passed(), result.toString());
@@ -71,18 +74,18 @@
     }
 
     @Test
-    void aBoxThatGivesTooMuchOrTooLittleIsCaught() {
+    void checkFailsWhenReceivedBytesDifferFromTheGrant() {
         assertFalse(ShareCheck.check(rows(1.04)).passed());
         assertFalse(ShareCheck.check(rows(0.96)).passed());
         assertEquals(-0.04, ShareCheck.check(rows(0.96)).receivedVsRule().mean(), 0.002);
     }
 
     @Test
-    void aModelThatSharesByAnotherRuleIsCaught() {
-        List<SecondRow> other = new ArrayList<>();
+    void checkFailsWhenTheModelUsesAnotherSharingRule() {
+        List<SecondRow> equalShares = new ArrayList<>();
         for (SecondRow row : rows(1)) {
-            // All sessions of the rack get the same share, as if the uplink alone cut.
-            other.add(new SecondRow(
+            // All sessions of the rack get the same share, as if only the uplink limited them.
+            equalShares.add(new SecondRow(
                     row.second(),
                     row.token(),
                     row.cls(),
@@ -100,18 +103,18 @@
                     true,
                     true));
         }
-        assertFalse(ShareCheck.check(other).passed());
+        assertFalse(ShareCheck.check(equalShares).passed());
     }
 
     @Test
-    void withoutAnOverloadedLinkNothingIsShown() {
+    void checkFailsWithoutAnOverloadedLink() {
         assertFalse(ShareCheck.check(List.of(
                         new SecondRow(1, "a", "free", 0, 0, 0, 0, 100, 1000, 1000, 100, 100, 1000, true, true, true)))
                 .passed());
     }
 
     @Test
-    void rowsAreWrittenAndReadBackAndDrawn() throws IOException {
+    void rowsAreReadBackAsWrittenAndDrawnAsCharts() throws IOException {
         Path file = folder.resolve("seconds.parquet");
         List<SecondRow> rows = rows(1);
         try (ParquetRows<SecondRow> out = new ParquetRows<>(file, SecondRow.class)) {
@@ -127,7 +130,7 @@
     }
 
     @Test
-    void otherFilesAreTold() throws IOException {
+    void readReportsMissingAndForeignFiles() throws IOException {
         Path file = folder.resolve("x.parquet");
         assertTrue(assertThrows(IOException.class, () -> ParquetRows.read(file, SecondRow.class))
                 .getMessage()
@@ -139,12 +142,13 @@
     }
 
     @Test
-    void ranksThatAgreeDifferAndTie() {
-        double[] up = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10};
-        double[] down = {10, 9, 8, 7, 6, 5, 4, 3, 2, 1};
-        assertEquals(1, KendallTau.of(up, up, 1).tau(), 1e-12);
-        assertEquals(-1, KendallTau.of(up, down, 1).tau(), 1e-12);
-        // Five things with a tie, worked by hand: 8 pairs agree, 1 doesn't, 1 is tied in the second list.
+    void kendallTauOfEqualReversedAndTiedRanks() {
+        double[] ascending = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10};
+        double[] descending = {10, 9, 8, 7, 6, 5, 4, 3, 2, 1};
+        assertEquals(1, KendallTau.of(ascending, ascending, 1).tau(), 1e-12);
+        assertEquals(-1, KendallTau.of(ascending, descending, 1).tau(), 1e-12);
+        // Five items with a tie, computed by hand: 8 pairs are concordant, 1 is discordant, 1 is tied in the second
+        // list.
         KendallTau tied = KendallTau.of(new double[] {1, 2, 3, 4, 5}, new double[] {2, 1, 3, 3, 5}, 1);
         assertEquals(7 / Math.sqrt(10 * 9), tied.tau(), 1e-12);
         assertTrue(tied.low() <= tied.tau() && tied.tau() <= tied.high());
