--- a/check/src/main/java/spanrill/check/EarlyEnds.java
+++ b/check/src/main/java/spanrill/check/EarlyEnds.java
@@ -8,63 +8,66 @@
 import java.util.Map;
 
 /**
- * Why playing sessions ended before their viewers wished it, from the records alone: what the viewer was told
- * is held against what was done to its front and to the box that it played at.
+ * Determines from the records why established sessions ended before their viewers wanted to stop. The reason that the
+ * front gave the viewer is combined with the recorded failures of the front and of the box.
  */
 public final class EarlyEnds {
-    /** A session that ended for want of its box,
-     * front or hall shows it within this time: the front's idle time
-     * and the viewer's patience with a segment. */
-    private static final double SHOWS_MS = 12_000;
+    /**
+     * A session that is lost with its box, front or hall ends within this time: it covers the front's idle time-out and
+     * the viewer's patience with a segment.
+     */
+    private static final double FAILURE_TO_END_MS = 12_000;
 
-    private static final double LOSS_SEEN_MS = 1000;
+    /** Maximum time between the record of a front's failure and the recorded end of its session, in either order. */
+    private static final double FRONT_FAILURE_MARGIN_MS = 1000;
 
-    /** Causes. */
+    /** Cause of an early end. The constants are written to reports and rows under their names. */
     public enum Cause {
-        /** Its box died, was restarted or went silent. */
+        /** The box crashed, was restarted or became mute. */
         BOX,
-        /** Its front died or stood still. */
+        /** The process of the front ended or stalled. */
         FRONT,
-        /** A cut between halls lay between its front and its box. */
+        /** The connection between the halls of the front and the box was cut. */
         HALL,
-        /** The module took it off its box and no other took it. */
+        /** The policy module moved the session off its box and no other box accepted it. */
         MOVE_REFUSED,
-        /** The rate was too low for its viewer to go on. */
+        /** The delivered rate was too low, and the viewer lost patience with a segment. */
         TOO_SLOW,
-        /** Its front took its player for gone. */
+        /** The front assumed that the player had left, because it was idle. */
         TAKEN_FOR_GONE,
-        /** None of these. */
+        /** No other cause applies. */
         OTHER
     }
 
     /**
-     * One end.
+     * One early end.
      *
-     * @param t when its viewer saw it
-     * @param serviceClass class of session
+     * @param t time at which the viewer noticed the end, in ms of the records' clock
+     * @param serviceClass class of the session; empty when the request is not recorded
      */
     public record End(double t, String serviceClass, Cause cause) {}
 
     private EarlyEnds() {}
 
-    /** All of a run, in order of time. */
+    /** Returns all early ends of a run, in order of time. */
     public static List<End> find(List<TraceEvent> records) {
         List<TraceEvent> events = new ArrayList<>(records);
         events.sort(Comparator.comparingDouble(TraceEvent::t));
-        Attempts attempts = new Attempts(events);
-        Map<String, String> classes = new HashMap<>();
+        AttemptIndex attempts = new AttemptIndex(events);
+        Map<String, String> classByToken = new HashMap<>();
         List<End> ends = new ArrayList<>();
         for (TraceEvent event : events) {
-            if (event instanceof TraceEvent.Request ask) {
-                classes.put(ask.token(), ask.cls());
-            } else if (event instanceof TraceEvent.SessionBroken broke) {
-                ends.add(new End(broke.t(), classes.getOrDefault(broke.token(), ""), cause(broke, attempts)));
+            if (event instanceof TraceEvent.Request request) {
+                classByToken.put(request.token(), request.cls());
+            } else if (event instanceof TraceEvent.SessionBroken broken) {
+                ends.add(new End(
+                        broken.t(), classByToken.getOrDefault(broken.token(), ""), determineCause(broken, attempts)));
             }
         }
         return ends;
     }
 
-    /** How many of each cause; every cause has its count. */
+    /** Counts the ends by cause; a cause without an end has the count 0. */
     public static Map<Cause, Long> countByCause(List<End> ends) {
         Map<Cause, Long> counts = new EnumMap<>(Cause.class);
         for (Cause cause : Cause.values()) {
@@ -73,38 +76,39 @@
         return counts;
     }
 
-    private static Cause cause(TraceEvent.SessionBroken broke, Attempts attempts) {
-        String why = broke.why() == null ? "" : broke.why();
-        if (why.equals("move-refused")) {
+    private static Cause determineCause(TraceEvent.SessionBroken broken, AttemptIndex attempts) {
+        String reason = broken.why() == null ? "" : broken.why();
+        if (reason.equals("move-refused")) {
             return Cause.MOVE_REFUSED;
         }
-        double t = broke.t();
-        if (attempts.away(broke.front(), t - LOSS_SEEN_MS, t + LOSS_SEEN_MS) > 0) {
+        double endMs = broken.t();
+        if (attempts.frontNotRunningMs(broken.front(), endMs - FRONT_FAILURE_MARGIN_MS, endMs + FRONT_FAILURE_MARGIN_MS)
+                > 0) {
             return Cause.FRONT;
         }
-        Attempts.Attempt last = null;
-        for (Attempts.Attempt each : attempts.byToken().getOrDefault(broke.token(), List.of())) {
-            last = each.ran ? each : last;
+        AttemptIndex.Attempt lastStarted = null;
+        for (AttemptIndex.Attempt attempt : attempts.byToken().getOrDefault(broken.token(), List.of())) {
+            lastStarted = attempt.ran ? attempt : lastStarted;
         }
-        if (last != null) {
-            double from = Math.max(last.setUp.t(), t - SHOWS_MS);
-            String box = last.setUp.box();
-            if (attempts.down(box, from, t)) {
+        if (lastStarted != null) {
+            double fromMs = Math.max(lastStarted.setUp.t(), endMs - FAILURE_TO_END_MS);
+            String box = lastStarted.setUp.box();
+            if (attempts.hasBoxStopped(box, fromMs, endMs)) {
                 return Cause.BOX;
             }
-            if (attempts.cut(box, from, t)) {
+            if (attempts.wasHallCut(box, fromMs, endMs)) {
                 return Cause.HALL;
             }
-            if (attempts.mute(box, from, t)) {
+            if (attempts.wasBoxMute(box, fromMs, endMs)) {
                 return Cause.BOX;
             }
         }
-        if (why.startsWith("box")) {
+        if (reason.startsWith("box")) {
             return Cause.BOX;
         }
-        if (why.equals("idle")) {
+        if (reason.equals("idle")) {
             return Cause.TAKEN_FOR_GONE;
         }
-        return broke.status() < 0 ? Cause.TOO_SLOW : Cause.OTHER;
+        return broken.status() < 0 ? Cause.TOO_SLOW : Cause.OTHER;
     }
 }
--- a/check/src/main/java/spanrill/check/EventRecorder.java
+++ b/check/src/main/java/spanrill/check/EventRecorder.java
@@ -15,27 +15,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records of a run: kept in memory, in a file of a JSON object a line, or both. Safe from any thread. */
+/** Collects the records of a run in memory and, if wanted, in a file with one JSON object per line. Thread-safe. */
 public final class EventRecorder implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final ObjectWriter WRITER = JSON.writerFor(TraceEvent.class);
-    private static final int MOST_LINE = 1 << 20;
+    private static final int MAX_LINE_CHARS = 1 << 20;
 
-    private final long origin = System.nanoTime();
+    private final long originNanos = System.nanoTime();
     private final List<TraceEvent> events = new ArrayList<>();
     private final BufferedWriter file;
 
-    /** Records in memory and, unless the file is null, in the file. */
+    /** Collects records in memory and, unless {@code path} is null, in the file. */
     public EventRecorder(Path path) throws IOException {
         file = path == null ? null : Files.newBufferedWriter(path, StandardCharsets.UTF_8);
     }
 
-    /** The clock of the records. */
+    /** Time of the records' clock, in ms since this recorder was created. */
     public double nowMs() {
-        return (System.nanoTime() - origin) / 1e6;
+        return (System.nanoTime() - originNanos) / 1e6;
     }
 
-    /** Records. */
+    /** Adds a record. */
     public synchronized void record(TraceEvent event) {
         events.add(event);
         if (file != null) {
@@ -43,17 +43,17 @@
                 file.write(WRITER.writeValueAsString(event));
                 file.newLine();
             } catch (IOException e) {
-                throw new UncheckedIOException("a tap can't be written", e);
+                throw new UncheckedIOException("a record cannot be written to the file", e);
             }
         }
     }
 
-    /** All records so far. */
+    /** Returns a copy of all records added so far. */
     public synchronized List<TraceEvent> events() {
         return new ArrayList<>(events);
     }
 
-    /** Writes what is left. */
+    /** Flushes and closes the file. */
     @Override
     public synchronized void close() throws IOException {
         if (file != null) {
@@ -64,34 +64,35 @@
     /**
      * Reads the records of a file.
      *
-     * @throws IOException with file, line and reason when one can't be read
+     * @throws IOException naming the file, the line and the reason when a record cannot be read
      */
     public static List<TraceEvent> read(Path path) throws IOException {
-        List<TraceEvent> read = new ArrayList<>();
-        int number = 0;
+        List<TraceEvent> events = new ArrayList<>();
+        int lineNumber = 0;
         try (BufferedReader in = Files.newBufferedReader(path, StandardCharsets.UTF_8)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                number++;
+                lineNumber++;
                 if (line.isBlank()) {
                     continue;
                 }
-                if (line.length() > MOST_LINE) {
-                    throw new IOException(path + ":" + number + ": a line of more than " + MOST_LINE + " characters");
+                if (line.length() > MAX_LINE_CHARS) {
+                    throw new IOException(
+                            path + ":" + lineNumber + ": line is longer than " + MAX_LINE_CHARS + " characters");
                 }
                 TraceEvent event = JSON.readValue(line, TraceEvent.class);
                 if (event == null) {
-                    throw new IOException(path + ":" + number + ": is no record");
+                    throw new IOException(path + ":" + lineNumber + ": is no record: JSON null");
                 }
-                read.add(event);
+                events.add(event);
             }
         } catch (JsonProcessingException e) {
-            throw new IOException(path + ":" + number + ": is no record: "
+            throw new IOException(path + ":" + lineNumber + ": is no record: "
                     + e.getOriginalMessage().split("\\R")[0]);
         } catch (MalformedInputException e) {
-            throw new IOException(path + ":" + (number + 1) + ": is no UTF-8 text");
+            throw new IOException(path + ":" + (lineNumber + 1) + ": is not valid UTF-8 text");
         } catch (NoSuchFileException e) {
             throw new IOException(path + ": there is no such file");
         }
-        return read;
+        return events;
     }
 }
--- a/check/src/main/java/spanrill/check/Rule.java
+++ b/check/src/main/java/spanrill/check/Rule.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-/** Judges one rule over the records of a run. */
+/** Checks one rule against the records of a run. */
 interface Rule {
-    /** Judges. Records are in order of time. */
-    Verdict evaluate(TraceEvent.RunParameters facts, List<TraceEvent> events, Attempts attempts);
+    /** Evaluates the rule; {@code events} are in order of time. */
+    Verdict evaluate(TraceEvent.RunParameters parameters, List<TraceEvent> events, AttemptIndex attempts);
 }
--- a/check/src/main/java/spanrill/check/RuleChecker.java
+++ b/check/src/main/java/spanrill/check/RuleChecker.java
@@ -4,44 +4,49 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Runs the six rules over the records of a run. */
+/** Evaluates the six rules on the records of a run. */
 public final class RuleChecker {
     private static final List<Rule> RULES = List.of(
-            new AnswersRule(), new OnceRule(), new OneOutRule(), new DrainRule(), new TermsRule(), new BudgetRule());
+            new SingleAnswerRule(),
+            new PaidOnceRule(),
+            new OneActiveAttemptRule(),
+            new DrainRule(),
+            new PlacementLimitsRule(),
+            new AttemptBudgetRule());
 
     private RuleChecker() {}
 
     /**
-     * Judges.
+     * Evaluates all rules, in the order of their numbers.
      *
-     * @throws IllegalArgumentException when the records lack the facts that rules are measured by, or
-     * speak of
-     *     a class that the facts don't know
+     * @throws IllegalArgumentException when the records have no run parameters, or name a class that the run parameters
+     *     do not have
      */
     public static List<Verdict> evaluate(List<TraceEvent> records) {
         List<TraceEvent> events = new ArrayList<>(records);
         events.sort(Comparator.comparingDouble(TraceEvent::t));
-        TraceEvent.RunParameters facts = null;
+        TraceEvent.RunParameters parameters = null;
         for (TraceEvent event : events) {
             if (event instanceof TraceEvent.RunParameters found) {
-                facts = found;
+                parameters = found;
             }
         }
-        if (facts == null || facts.classes() == null) {
-            throw new IllegalArgumentException("the records have no facts: they are cut, or of another program");
+        if (parameters == null || parameters.classes() == null) {
+            throw new IllegalArgumentException(
+                    "the records contain no record of kind facts: the file is truncated or another program wrote it");
         }
         for (TraceEvent event : events) {
-            String cls = event instanceof TraceEvent.Request ask
-                    ? ask.cls()
+            String serviceClass = event instanceof TraceEvent.Request request
+                    ? request.cls()
                     : event instanceof TraceEvent.SetUp setUp ? setUp.cls() : null;
-            if (cls != null && !facts.classes().containsKey(cls)) {
-                throw new IllegalArgumentException("the facts know no class " + cls);
+            if (serviceClass != null && !parameters.classes().containsKey(serviceClass)) {
+                throw new IllegalArgumentException("the record of kind facts has no class " + serviceClass);
             }
         }
-        Attempts attempts = new Attempts(events);
+        AttemptIndex attempts = new AttemptIndex(events);
         List<Verdict> verdicts = new ArrayList<>();
         for (Rule rule : RULES) {
-            verdicts.add(rule.evaluate(facts, events, attempts));
+            verdicts.add(rule.evaluate(parameters, events, attempts));
         }
         return verdicts;
     }
--- a/check/src/main/java/spanrill/check/TokenUsage.java
+++ b/check/src/main/java/spanrill/check/TokenUsage.java
@@ -9,18 +9,18 @@
 import java.util.Set;
 
 /**
- * Answers and tickets of a run, counted from the records of viewers and boxes alone.
+ * Answers to requests and uses of tokens in a run, counted from the records of viewers and boxes alone.
  *
  * @param requests requests that viewers wrote
- * @param excused of these, those whose viewer left or whose front died or stood still meanwhile
+ * @param excused requests without an answer whose viewer left or whose front died or stalled meanwhile
  * @param tokens distinct tokens
- * @param minAnswers answers to a request that is not excused, at least
- * @param maxAnswers answers to any request, at most
- * @param maxSpends times that a box spent one paid token, at most
+ * @param minAnswers smallest number of answers to a request that is not excused
+ * @param maxAnswers largest number of answers to a request
+ * @param maxSpends largest number of times that boxes spent one paid token
  * @param spentTokens paid tokens that were spent
- * @param joined requests that shared the session of another request of their token
- * @param failedWithoutRun requests answered "failed" though no box ran anything for their token
- * @param failedAfterRun requests answered "failed" whose token a box did run
+ * @param joined requests that joined the session of another request with the same token
+ * @param failedWithoutRun requests answered with "failed" although no box ran an attempt for their token
+ * @param failedAfterRun requests answered with "failed" whose token a box did run
  */
 public record TokenUsage(
         long requests,
@@ -34,59 +34,60 @@
         long failedWithoutRun,
         long failedAfterRun) {
 
-    /** True when every request had exactly one answer and no token was spent twice. */
+    /** True when every request that is not excused had exactly one answer and no token was spent twice. */
     public boolean passed() {
         return requests > 0 && minAnswers == 1 && maxAnswers == 1 && maxSpends <= 1;
     }
 
-    /** Counts. */
+    /** Counts answers and tokens in the records of a run. */
     public static TokenUsage of(List<TraceEvent> records) {
         List<TraceEvent> events = new ArrayList<>(records);
         events.sort(Comparator.comparingDouble(TraceEvent::t));
-        Attempts attempts = new Attempts(events);
-        Map<String, Integer> plays = new HashMap<>();
+        AttemptIndex attempts = new AttemptIndex(events);
+        Map<String, Integer> playsByToken = new HashMap<>();
         Set<String> tokens = new HashSet<>();
-        List<String> failed = new ArrayList<>();
+        List<String> failedTokens = new ArrayList<>();
         long requests = 0;
         long excused = 0;
-        long least = Long.MAX_VALUE;
-        long most = 0;
-        for (Requests.Judged request : new Requests(events, attempts).all()) {
+        long fewestAnswers = Long.MAX_VALUE;
+        long mostAnswers = 0;
+        for (RequestOutcomes.RequestOutcome result : new RequestOutcomes(events, attempts).all()) {
             requests++;
-            tokens.add(request.ask().token());
-            most = Math.max(most, request.answers());
-            switch (request.fate()) {
-                case PLAYS -> plays.merge(request.ask().token(), 1, Integer::sum);
-                case FAILED -> failed.add(request.ask().token());
+            tokens.add(result.request().token());
+            mostAnswers = Math.max(mostAnswers, result.answers());
+            switch (result.outcome()) {
+                case PLAYS -> playsByToken.merge(result.request().token(), 1, Integer::sum);
+                case FAILED -> failedTokens.add(result.request().token());
                 default -> {}
             }
-            if (request.answers() == 0 && !request.owed()) {
+            if (result.answers() == 0 && !result.answerRequired()) {
                 excused++;
             } else {
-                least = Math.min(least, request.answers());
+                fewestAnswers = Math.min(fewestAnswers, result.answers());
             }
         }
-        Map<String, Integer> spends = new HashMap<>();
-        Set<String> ran = new HashSet<>();
-        for (Attempts.Attempt attempt : attempts.all()) {
+        Map<String, Integer> spendsByToken = new HashMap<>();
+        Set<String> tokensRun = new HashSet<>();
+        for (AttemptIndex.Attempt attempt : attempts.all()) {
             if (attempt.ran) {
-                ran.add(attempt.setUp.token());
+                tokensRun.add(attempt.setUp.token());
                 if (attempt.setUp.spends()) {
-                    spends.merge(attempt.setUp.token(), 1, Integer::sum);
+                    spendsByToken.merge(attempt.setUp.token(), 1, Integer::sum);
                 }
             }
         }
-        long failedRan = failed.stream().filter(ran::contains).count();
+        long failedAfterRunCount =
+                failedTokens.stream().filter(tokensRun::contains).count();
         return new TokenUsage(
                 requests,
                 excused,
                 tokens.size(),
-                least == Long.MAX_VALUE ? 0 : least,
-                most,
-                spends.values().stream().mapToInt(i -> i).max().orElse(0),
-                spends.size(),
-                plays.values().stream().mapToLong(n -> n - 1).sum(),
-                failed.size() - failedRan,
-                failedRan);
+                fewestAnswers == Long.MAX_VALUE ? 0 : fewestAnswers,
+                mostAnswers,
+                spendsByToken.values().stream().mapToInt(i -> i).max().orElse(0),
+                spendsByToken.size(),
+                playsByToken.values().stream().mapToLong(n -> n - 1).sum(),
+                failedTokens.size() - failedAfterRunCount,
+                failedAfterRunCount);
     }
 }
--- a/check/src/main/java/spanrill/check/Verdict.java
+++ b/check/src/main/java/spanrill/check/Verdict.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What became of one rule: how often it was put to the test, and what broke it. */
+/** Result of one rule: the number of checks and the violations. */
 public final class Verdict {
-    private static final int MOST_TOLD = 20;
+    private static final int MAX_LISTED_VIOLATIONS = 20;
     private final int rule;
     private final String name;
     private final List<String> violations = new ArrayList<>();
-    private long judged;
-    private long broken;
+    private long checkCount;
+    private long violationCount;
 
     Verdict(int rule, String name) {
         this.rule = rule;
@@ -18,42 +18,42 @@
     }
 
     void countCheck() {
-        judged++;
+        checkCount++;
     }
 
-    void addViolation(double t, String text) {
-        broken++;
-        if (violations.size() < MOST_TOLD) {
-            violations.add(String.format(java.util.Locale.ROOT, "%.1f ms: %s", t, text));
+    void addViolation(double timeMs, String text) {
+        violationCount++;
+        if (violations.size() < MAX_LISTED_VIOLATIONS) {
+            violations.add(String.format(java.util.Locale.ROOT, "%.1f ms: %s", timeMs, text));
         }
     }
 
-    /** Number of the rule. */
+    /** Number of the rule, from 1. */
     public int rule() {
         return rule;
     }
 
-    /** Its name. */
+    /** Name of the rule, as reports show it. */
     public String name() {
         return name;
     }
 
-    /** True when nothing broke it. */
+    /** True when there was no violation. */
     public boolean passed() {
-        return broken == 0;
+        return violationCount == 0;
     }
 
-    /** How many things it was judged on. */
+    /** Number of checks made. */
     public long checkCount() {
-        return judged;
+        return checkCount;
     }
 
-    /** How often it was broken. */
+    /** Number of violations, including those that are not listed. */
     public long violationCount() {
-        return broken;
+        return violationCount;
     }
 
-    /** The first things that broke it. */
+    /** Times and texts of the first {@value #MAX_LISTED_VIOLATIONS} violations. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
--- a/check/src/main/java/spanrill/check/package-info.java
+++ b/check/src/main/java/spanrill/check/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The six rules, judged from records taken at the sockets of viewers, boxes and the registry, never from what
- * a front believes. One class a rule; {@link spanrill.check.Checker} runs them over the records of a run.
+ * The six rules, checked on records taken at the sockets of viewers, boxes and the registry, and never on the state that
+ * a front holds. Each rule is one class; {@link spanrill.check.RuleChecker} evaluates all of them on a run's records.
  */
 package spanrill.check;
