--- a/check/src/main/java/spanrill/check/AttemptBudgetRule.java
+++ b/check/src/main/java/spanrill/check/AttemptBudgetRule.java
@@ -16,8 +16,9 @@
 final class AttemptBudgetRule implements Rule {
     /**
      * A front counts a request when it accepts it and an attempt when it decides on it; the records have the time at
-     * which the viewer wrote the request and the box read the set-up. The delay between (network, signature check, a new
-     * connection) can move either across an edge of the window. It is assumed to be this long, in the front's favour.
+     * which the viewer wrote the request and the box read the set-up. The delay between (network, signature check, a
+     * new connection) can move either across an edge of the window. It is assumed to be this long, in favour of the
+     * front.
      */
     private static final double RECORD_DELAY_MS = 50;
 
--- a/check/src/main/java/spanrill/check/PaidOnceRule.java
+++ b/check/src/main/java/spanrill/check/PaidOnceRule.java
@@ -6,9 +6,9 @@
 import spanrill.check.AttemptIndex.Attempt;
 
 /**
- * Rule 2: a paid session is set up once. A front sends a further set-up, or refuses the request, only when every earlier
- * attempt was rejected before it ran. A set-up that continues an established session (a move) spends no token and is
- * allowed; a set-up that claims to continue a session that never ran is a violation.
+ * Rule 2: a paid session is set up once. A front sends a further set-up, or refuses the request, only when it is proven
+ * that no earlier attempt ran. A set-up that continues an established session (a move) spends no token and is allowed;
+ * a set-up that claims to continue a session that never ran is a violation.
  */
 final class PaidOnceRule implements Rule {
     @Override
--- a/check/src/main/java/spanrill/check/PlacementLimitsRule.java
+++ b/check/src/main/java/spanrill/check/PlacementLimitsRule.java
@@ -12,8 +12,8 @@
 /**
  * Rule 5: the fronts together do not overload a cold box, and the floors and seats of the classes are kept. A box that
  * has just started can take places / coldMs set-ups per ms, times a share that rises from coldShare to 1. The rule is
- * broken when more than fallMultiple times this number arrive within fallMs, and most of them come from fronts that were
- * notified of the start, had sessions on the box before it failed, or started after the box.
+ * broken when more than fallMultiple times this number arrive within fallMs, and most of them come from fronts that
+ * were notified of the start, had sessions on the box before it failed, or started after the box.
  */
 final class PlacementLimitsRule implements Rule {
     /** Arrivals are random, so a window may hold this many set-ups more than the budget. */
--- a/check/src/main/java/spanrill/check/RequestOutcomes.java
+++ b/check/src/main/java/spanrill/check/RequestOutcomes.java
@@ -16,8 +16,8 @@
  */
 final class RequestOutcomes {
     /**
-     * The end of a front's process is recorded before its viewers notice it: a request written up to this long after the
-     * record may be lost with the front.
+     * The end of a front's process is recorded before its viewers notice it: a request written up to this long after
+     * the record may be lost with the front.
      */
     private static final double KILL_RECORD_LEAD_MS = 1000;
 
--- a/check/src/main/java/spanrill/check/TraceEvent.java
+++ b/check/src/main/java/spanrill/check/TraceEvent.java
@@ -102,7 +102,8 @@
      * @param t time at which the viewer read the head, in ms
      * @param ask number of the request
      * @param status HTTP status; 0 for data that the viewer did not ask for
-     * @param answer "plays", "refused", "failed", or "none" when the front never accepted the request
+     * @param answer "plays", "refused", "failed", "none" when the front never accepted the request, or "unasked" for
+     *     data that the viewer did not ask for
      */
     record Answer(double t, long ask, int status, String answer) implements TraceEvent {}
 
--- a/check/src/main/java/spanrill/check/ViewerOutcomes.java
+++ b/check/src/main/java/spanrill/check/ViewerOutcomes.java
@@ -20,11 +20,11 @@
      * @param name name of the viewer
      * @param serviceClass class of the session that the viewer requests
      * @param arrivedMs time at which the viewer first wanted to watch, in ms of the records' clock
-     * @param waitMs time from the arrival to the first play, waits between requests included, in ms; NaN when the viewer
-     *     never played
+     * @param waitMs time from the arrival to the first play, waits between requests included, in ms; NaN when the
+     *     viewer never played
      * @param requests number of requests that the viewer wrote
-     * @param departureReason reason why the viewer left for good, or null when the viewer was still present at the end of
-     *     the records
+     * @param departureReason reason why the viewer left for good, or null when the viewer was still present at the end
+     *     of the records
      */
     public record Viewer(
             String name, String serviceClass, double arrivedMs, double waitMs, int requests, String departureReason) {
--- a/check/src/test/java/spanrill/check/RuleCheckerTest.java
+++ b/check/src/test/java/spanrill/check/RuleCheckerTest.java
@@ -294,7 +294,7 @@
     }
 
     /**
-     * Adds set-ups at a cold box. The budget is 2 x 20 places / 10 s x 0.5 (cold share) x 1.5 s plus a slack of two, so that
+     * Adds set-ups at a cold box. The budget is 2 x 20 places / 10 s x 0.5 (cold share) x 1.5 s plus a slack of two, so
      * nine set-ups are too many if the front was notified of the start.
      */
     private RuleCheckerTest coldBoxSetUps(boolean notified, int count) {
@@ -380,8 +380,8 @@
     }
 
     /**
-     * A front accepts a request some ms after its viewer wrote the request, so a request at the edge of the window still
-     * counts.
+     * A front accepts a request some ms after its viewer wrote the request, so a request at the edge of the window
+     * still counts.
      */
     @Test
     void requestAtTheEdgeOfTheWindowCountsAndOlderRequestDoesNot() {
--- a/results/src/test/java/spanrill/results/ResultsTest.java
+++ b/results/src/test/java/spanrill/results/ResultsTest.java
@@ -18,8 +18,8 @@
     Path folder;
 
     /**
-     * Rows of two boxes in one rack, whose links pass 1,000 and 500 bytes per second to an uplink of 900. Received bytes
-     * are the granted bytes times a factor.
+     * Rows of two boxes in one rack, whose links pass 1,000 and 500 bytes per second to an uplink of 900. Received
+     * bytes are the granted bytes times a factor.
      */
     private static List<SecondRow> rows(double receivedFactor) {
         List<SecondRow> rows = new ArrayList<>();
