--- a/standin/src/main/java/spanrill/standin/LoopbackServer.java
+++ b/standin/src/main/java/spanrill/standin/LoopbackServer.java
@@ -11,31 +11,37 @@
 import spanrill.wire.http.HttpServer;
 import spanrill.wire.http.HttpServerHandler;
 
-/** Listening on loopback. */
+/** HTTP/1.1 servers on 127.0.0.1. */
 public final class LoopbackServer {
-    private static final HttpServerHandler.ConnectionLimits TIMES =
+    private static final HttpServerHandler.ConnectionLimits CONNECTION_LIMITS =
             new HttpServerHandler.ConnectionLimits(10_000, 120_000, 64 * 1024);
 
     private LoopbackServer() {}
 
-    /** A server on loopback that hands its exchanges on; all its connections are on one loop. */
+    /**
+     * Listens and waits until the port is bound. All connections of the server run on the given loop.
+     *
+     * @param port the port, 0 for one that the system picks
+     * @param opened called with each accepted connection
+     * @param route called with each request
+     */
     public static Channel listen(EventLoop loop, int port, Consumer<Channel> opened, Consumer<Exchange> route)
             throws IOException {
         ChannelFuture future = bind(loop, port, opened, route).awaitUninterruptibly();
         if (!future.isSuccess()) {
-            throw new IOException("can't listen on loopback port " + port + ": "
+            throw new IOException("cannot listen on loopback port " + port + ": "
                     + future.cause().getMessage());
         }
         return future.channel();
     }
 
-    /** The same without waiting, for use on the loop. */
+    /** Starts to listen without waiting, so that it may be called on the loop; parameters as for {@link #listen}. */
     public static ChannelFuture bind(EventLoop loop, int port, Consumer<Channel> opened, Consumer<Exchange> route) {
         return HttpServer.bind(
                 loop,
                 new InetSocketAddress("127.0.0.1", port),
                 HttpLimits.SERVER,
-                TIMES,
+                CONNECTION_LIMITS,
                 channel -> {
                     opened.accept(channel);
                     return true;
@@ -44,7 +50,7 @@
                 fault -> {});
     }
 
-    /** Port of a listening channel. */
+    /** Returns the port that a server channel is bound to. */
     public static int port(Channel server) {
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
--- a/standin/src/main/java/spanrill/standin/box/BoxFleet.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxFleet.java
@@ -13,52 +13,52 @@
 import spanrill.results.SecondRow;
 import spanrill.standin.registry.Entry;
 
-/** All boxes of a day, each on a port of its own, on one loop, on the links of one model. */
+/** All boxes of a day. Each has its own port; all share one event loop and one model of links. */
 public final class BoxFleet {
-    private static final long TICK_MS = 20;
-    private static final long SECOND_MS = 1000;
+    private static final long SHAPING_INTERVAL_MS = 20;
+    private static final long RECORD_INTERVAL_MS = 1000;
 
     private final List<StandinBox> boxes = new ArrayList<>();
     private final LinkNetwork network = new LinkNetwork();
-    private final SessionSecondRecorder ledger;
-    private final LinkModelTimer modelTime = new LinkModelTimer();
+    private final SessionSecondRecorder secondRecorder;
+    private final LinkModelTimer linkModelTimer = new LinkModelTimer();
     private final EventLoop loop;
-    private final EventRecorder tap;
+    private final EventRecorder recorder;
     private final Day day;
-    private final long[] linkBytes;
-    private final long[] uplinkBytes;
-    private final Histogram late = new Histogram(60_000_000, 3);
-    private long dueNanos;
+    private final long[] linkBytesPerS;
+    private final long[] uplinkBytesPerS;
+    private final Histogram shapingDelay = new Histogram(60_000_000, 3);
+    private long nextTickNanos;
     private int ticks;
 
     /**
-     * The boxes that a day states; {@link #open} starts them.
+     * Creates the boxes that a day describes; {@link #open} starts them.
      *
-     * @param receipts what viewers received
-     * @param rows where seconds are written, or null
+     * @param receivedBytes media bytes that viewers received, by token
+     * @param rows receives one row per session and second, or null to write none
      */
     public BoxFleet(
             Day day,
             long seed,
             EventLoop loop,
-            EventRecorder tap,
-            ReceivedBytes receipts,
+            EventRecorder recorder,
+            ReceivedBytes receivedBytes,
             ParquetRows<SecondRow> rows) {
         this.loop = loop;
-        this.tap = tap;
+        this.recorder = recorder;
         this.day = day;
         FleetPlan plan = FleetPlan.of(day, seed);
-        double bytes = 1000 * day.byteScale();
-        linkBytes = new long[plan.boxes().size()];
-        uplinkBytes = new long[plan.uplinksKbytesPerS().size()];
-        for (int r = 0; r < uplinkBytes.length; r++) {
-            uplinkBytes[r] = Math.round(plan.uplinksKbytesPerS().get(r) * bytes);
-            network.addRack(uplinkBytes[r]);
+        double bytesPerKilobyte = 1000 * day.byteScale();
+        linkBytesPerS = new long[plan.boxes().size()];
+        uplinkBytesPerS = new long[plan.uplinksKbytesPerS().size()];
+        for (int rackNumber = 0; rackNumber < uplinkBytesPerS.length; rackNumber++) {
+            uplinkBytesPerS[rackNumber] = Math.round(plan.uplinksKbytesPerS().get(rackNumber) * bytesPerKilobyte);
+            network.addRack(uplinkBytesPerS[rackNumber]);
         }
-        ledger = new SessionSecondRecorder(network, receipts, rows);
+        secondRecorder = new SessionSecondRecorder(network, receivedBytes, rows);
         for (FleetPlan.Box box : plan.boxes()) {
-            linkBytes[box.cell()] = Math.round(box.linkKbytesPerS() * bytes);
-            network.addBox(box.rack(), linkBytes[box.cell()]);
+            linkBytesPerS[box.cell()] = Math.round(box.linkKbytesPerS() * bytesPerKilobyte);
+            network.addBox(box.rack(), linkBytesPerS[box.cell()]);
             boxes.add(new StandinBox(
                     box.id(),
                     box.zone(),
@@ -68,16 +68,16 @@
                     network,
                     day,
                     loop,
-                    tap,
+                    recorder,
                     seed,
-                    modelTime));
+                    linkModelTimer));
         }
     }
 
-    /** Starts all, warm, and waits until they listen. */
+    /** Starts all boxes warm and waits until they listen, for about two seconds at most. */
     public void open() throws InterruptedException {
         loop.submit(() -> boxes.forEach(box -> box.start(false))).sync();
-        // Binding is done by the loop itself; each round trip through it lets what is queued go first.
+        // Ports are bound on this loop: each scheduled task runs after the bind operations already queued.
         for (int i = 0;
                 i < 400
                         && !loop.submit(() -> boxes.stream().allMatch(StandinBox::isRunning))
@@ -86,59 +86,60 @@
                 i++) {
             loop.schedule(() -> {}, 5, TimeUnit.MILLISECONDS).sync();
         }
-        dueNanos = System.nanoTime() + TICK_MS * 1_000_000;
-        loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        long tell = (long) day.notes().tellMs();
-        loop.scheduleAtFixedRate(() -> boxes.forEach(StandinBox::reportLinkUse), tell, tell, TimeUnit.MILLISECONDS);
+        nextTickNanos = System.nanoTime() + SHAPING_INTERVAL_MS * 1_000_000;
+        loop.scheduleAtFixedRate(this::tick, SHAPING_INTERVAL_MS, SHAPING_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        long reportMs = (long) day.notes().tellMs();
+        loop.scheduleAtFixedRate(
+                () -> boxes.forEach(StandinBox::reportLinkUse), reportMs, reportMs, TimeUnit.MILLISECONDS);
     }
 
     private void tick() {
-        long now = System.nanoTime();
-        late.recordValue(Math.max(0, (now - dueNanos) / 1000));
-        dueNanos += TICK_MS * 1_000_000;
-        double at = tap.nowMs();
-        if (++ticks % (SECOND_MS / TICK_MS) == 0) {
-            // Before this tick's bytes go out: what the last tick wrote has arrived by now.
-            ledger.recordSecond(at, boxes);
+        long nowNanos = System.nanoTime();
+        shapingDelay.recordValue(Math.max(0, (nowNanos - nextTickNanos) / 1000));
+        nextTickNanos += SHAPING_INTERVAL_MS * 1_000_000;
+        double nowMs = recorder.nowMs();
+        if (++ticks % (RECORD_INTERVAL_MS / SHAPING_INTERVAL_MS) == 0) {
+            // Recorded before this tick writes: bytes of the previous tick have reached the viewers by now.
+            secondRecorder.recordSecond(nowMs, boxes);
             boxes.forEach(StandinBox::reportDeliveredShare);
-            boxes.forEach(box -> box.endIdleSessions(at));
+            boxes.forEach(box -> box.endIdleSessions(nowMs));
         }
-        boxes.forEach(box -> box.sendGrantedBytes(at, TICK_MS));
+        boxes.forEach(box -> box.sendGrantedBytes(nowMs, SHAPING_INTERVAL_MS));
     }
 
-    /** The boxes. */
+    /** Returns the boxes, in the order of their cells. */
     public List<StandinBox> boxes() {
         return boxes;
     }
 
-    /** The boxes as a registry lists them at the start. */
+    /** Returns the registry entries of all boxes at the start of the day. */
     public List<Entry> entries() {
         return boxes.stream()
                 .map(box -> new Entry(box.id(), box.port(), box.zone(), "std", box.cell(), "ready", 1, 0))
                 .toList();
     }
 
-    /** A box's link gives this share. */
+    /** Limits a box's link to a share of its capacity, from 0 to 1. */
     public void setLinkShare(int box, double share) {
-        network.setLinkCapacity(tap.nowMs(), box, Math.round(linkBytes[box] * share));
+        network.setLinkCapacity(recorder.nowMs(), box, Math.round(linkBytesPerS[box] * share));
     }
 
-    /** A rack's uplink gives this share. */
+    /** Limits a rack's uplink to a share of its capacity, from 0 to 1. */
     public void setUplinkShare(int rack, double share) {
-        network.setUplinkCapacity(tap.nowMs(), rack, Math.round(uplinkBytes[rack] * share));
+        network.setUplinkCapacity(recorder.nowMs(), rack, Math.round(uplinkBytesPerS[rack] * share));
     }
 
-    /** Time that the loop spent in the model of links, ms; on the loop. */
+    /** Returns the time that the loop has spent in the link model, in ms. Must be called on the loop. */
     public double linkModelMs() {
-        return modelTime.elapsedMs();
+        return linkModelTimer.elapsedMs();
     }
 
-    /** How late boxes moved their bytes, microseconds. */
+    /** Returns the delay of shaping ticks after their due time, in microseconds. */
     public Histogram shapingDelayMicros() {
-        return late;
+        return shapingDelay;
     }
 
-    /** Ends all. */
+    /** Terminates all boxes. */
     public void close() throws InterruptedException {
         loop.submit(() -> boxes.forEach(box -> box.terminate("closed"))).sync();
     }
--- a/standin/src/main/java/spanrill/standin/box/BoxSession.java
+++ b/standin/src/main/java/spanrill/standin/box/BoxSession.java
@@ -4,55 +4,55 @@
 import spanrill.model.link.FlowTokenBucket;
 import spanrill.model.link.LinkNetwork.Flow;
 
-/** A session at a box. */
+/** State of one session that a box plays. */
 final class BoxSession {
-    /** What was granted while nothing was asked for may be caught up for so long. */
-    private static final double CATCH_UP_MS = 250;
+    /** Limits the unused bytes that a session may catch up: what the link grants within this time. */
+    private static final double MAX_CATCH_UP_MS = 250;
 
     final String key;
     final String token;
-    final String cls;
+    final String serviceClass;
     final int front;
     final String zone;
     final String title;
     final double scale;
-    final int floor;
-    final FlowTokenBucket bucket = new FlowTokenBucket(CATCH_UP_MS);
+    final int floorRung;
+    final FlowTokenBucket bucket = new FlowTokenBucket(MAX_CATCH_UP_MS);
     Flow flow;
-    /** The process that it plays at. */
+    /** The process of the box that set the session up. */
     BoxProcess process;
 
     int rung;
-    double seenAt;
-    int segments;
-    int transfers;
-    boolean toldShort;
-    // Of the second at hand.
+    double lastRequestAt;
+    int videoSegments;
+    int openTransfers;
+    boolean reportedShort;
+    // Since the last recorded second.
     double idleMs;
-    boolean hadRoom;
+    boolean linkHadRoom;
     double grantedBefore;
     long receivedBefore = -1;
 
     BoxSession(
             String key,
             String token,
-            String cls,
+            String serviceClass,
             int front,
             String zone,
             String title,
             double scale,
-            int floor,
+            int floorRung,
             int rung,
             double now) {
         this.key = key;
         this.token = token;
-        this.cls = cls;
+        this.serviceClass = serviceClass;
         this.front = front;
         this.zone = zone;
         this.title = title;
         this.scale = scale;
-        this.floor = floor;
+        this.floorRung = floorRung;
         this.rung = rung;
-        seenAt = now;
+        lastRequestAt = now;
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/Impairments.java
+++ b/standin/src/main/java/spanrill/standin/box/Impairments.java
@@ -3,44 +3,44 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What troubles do to a box just now. */
+/** The impairments that troubles of the day impose on a box at present. */
 public final class Impairments {
-    /** Set-ups take so many times as long. */
-    double slow = 1;
-    /** Notes come so much later. */
-    double lateMs;
-    /** Share of set-ups whose answer is lost. */
-    double answerLost;
-    /** Neither reads nor writes. */
-    boolean mute;
-    /** Halls that it can't be reached from. */
-    final Set<String> cut = new HashSet<>();
+    /** Factor on the duration of set-ups. */
+    double setUpSlowdown = 1;
+    /** Additional delay of notes, in ms. */
+    double noteDelayMs;
+    /** Share of set-ups whose answer is lost, from 0 to 1. */
+    double lostAnswerShare;
+    /** True while the box neither reads nor writes. */
+    boolean unresponsive;
+    /** Halls whose fronts cannot reach the box. */
+    final Set<String> unreachableFrom = new HashSet<>();
 
-    /** Set-ups take so many times as long. */
-    public void setSetUpSlowdown(double times) {
-        slow = times;
+    /** Multiplies the duration of set-ups by a factor. */
+    public void setSetUpSlowdown(double factor) {
+        setUpSlowdown = factor;
     }
 
-    /** Notes come so much later. */
-    public void setNoteDelayMs(double ms) {
-        lateMs = ms;
+    /** Delays notes by an additional time in ms. */
+    public void setNoteDelayMs(double delayMs) {
+        noteDelayMs = delayMs;
     }
 
-    /** This share of answers is lost. */
+    /** Sets the share of set-ups whose answer is lost, from 0 to 1. */
     public void setLostAnswerShare(double share) {
-        answerLost = share;
+        lostAnswerShare = share;
     }
 
-    /** Fronts of this hall reach it, or don't. */
-    public void setUnreachableFrom(String zone, boolean on) {
-        if (on) {
-            cut.add(zone);
+    /** Makes the box unreachable or reachable for fronts of a hall. */
+    public void setUnreachableFrom(String zone, boolean unreachable) {
+        if (unreachable) {
+            unreachableFrom.add(zone);
         } else {
-            cut.remove(zone);
+            unreachableFrom.remove(zone);
         }
     }
 
     boolean isUnreachableFrom(String zone) {
-        return mute || cut.contains(zone);
+        return unresponsive || unreachableFrom.contains(zone);
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/LinkModelTimer.java
+++ b/standin/src/main/java/spanrill/standin/box/LinkModelTimer.java
@@ -1,19 +1,17 @@
 package spanrill.standin.box;
 
-/**
- * Time that the loop of the boxes spends in the model of links, told apart from the boxes' own. On that loop.
- */
+/** Measures the time that the boxes' event loop spends in the link model. Confined to that loop. */
 final class LinkModelTimer {
-    private long nanos;
+    private long elapsedNanos;
 
-    /** Does something that is the model's work. */
+    /** Runs work of the link model and adds its duration. */
     void measure(Runnable work) {
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         work.run();
-        nanos += System.nanoTime() - begin;
+        elapsedNanos += System.nanoTime() - startNanos;
     }
 
     double elapsedMs() {
-        return nanos / 1e6;
+        return elapsedNanos / 1e6;
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/LoadReporter.java
+++ b/standin/src/main/java/spanrill/standin/box/LoadReporter.java
@@ -9,84 +9,84 @@
 import spanrill.model.link.LinkNetwork;
 import spanrill.wire.box.Note;
 
-/** What a box tells of itself: how much of its rate a session gets, and how full link and uplink are. */
+/** Reports a box's load to its fronts: the share of its rate that a session gets, and the use of link and uplink. */
 final class LoadReporter {
-    private static final double MOST_USE = 99;
-    private static final double SHORT = 0.98;
+    private static final double MAX_REPORTED_USE = 99;
+    private static final double SHORT_SHARE = 0.98;
 
     private final Day day;
     private final LinkNetwork network;
     private final int cell;
     private final int rack;
     private final NoteStreams notes;
-    private final Impairments condition;
-    private double shownLink;
-    private double shownUplink;
+    private final Impairments impairments;
+    private double reportedLinkUse;
+    private double reportedUplinkUse;
 
-    LoadReporter(Day day, LinkNetwork network, int cell, int rack, NoteStreams notes, Impairments condition) {
+    LoadReporter(Day day, LinkNetwork network, int cell, int rack, NoteStreams notes, Impairments impairments) {
         this.day = day;
         this.network = network;
         this.cell = cell;
         this.rack = rack;
         this.notes = notes;
-        this.condition = condition;
+        this.impairments = impairments;
     }
 
-    /** A use as it can be told: a link that gives nothing is told as very full. */
-    private static double shown(double use) {
-        return Math.min(use, MOST_USE);
+    /** Limits a use to what a note can carry: a link without capacity has an infinite use. */
+    private static double limitUse(double use) {
+        return Math.min(use, MAX_REPORTED_USE);
     }
 
     Load load(double inflight) {
-        return new Load(inflight, shownLink, shownUplink);
+        return new Load(inflight, reportedLinkUse, reportedUplinkUse);
     }
 
-    /** A session began: its front hears how full things are now. */
+    /** Reports the current use of link and uplink to the front of a session that has just started. */
     void reportSessionStart(BoxSession session) {
-        notes.send(session.front, new Note(Note.Kind.LINK, session.key, shown(network.linkUtilization(cell))));
-        notes.send(session.front, new Note(Note.Kind.UPLINK, session.key, shown(network.uplinkUtilization(rack))));
+        notes.send(session.front, new Note(Note.Kind.LINK, session.key, limitUse(network.linkUtilization(cell))));
+        notes.send(session.front, new Note(Note.Kind.UPLINK, session.key, limitUse(network.uplinkUtilization(rack))));
     }
 
     void reportSessionEnd(BoxSession session) {
         notes.send(session.front, new Note(Note.Kind.OVER, session.key, 0));
     }
 
-    private void late(BoxSession session, Predicate<BoxSession> still, Note... told) {
+    private void sendDelayed(BoxSession session, Predicate<BoxSession> isActive, Note... sent) {
         notes.sendDelayed(
-                day.notes().lateMs() + condition.lateMs,
-                () -> still.test(session) && !condition.isUnreachableFrom(session.zone),
+                day.notes().lateMs() + impairments.noteDelayMs,
+                () -> isActive.test(session) && !impairments.isUnreachableFrom(session.zone),
                 session.front,
-                told);
+                sent);
     }
 
-    /** Each second: the share delivered, on one session of each front. */
-    void reportDeliveredShare(Collection<BoxSession> sessions, Predicate<BoxSession> still) {
-        Set<Integer> told = new HashSet<>();
+    /** Reports the delivered share, on one session of each front. Called each second. */
+    void reportDeliveredShare(Collection<BoxSession> sessions, Predicate<BoxSession> isActive) {
+        Set<Integer> reportedFronts = new HashSet<>();
         for (BoxSession session : sessions) {
-            if (!told.add(session.front)) {
+            if (!reportedFronts.add(session.front)) {
                 continue;
             }
             double share = network.share(cell);
-            boolean isShort = share < SHORT;
-            if (isShort || session.toldShort) {
-                late(session, still, new Note(Note.Kind.DELIVERED, session.key, share));
+            boolean isShort = share < SHORT_SHARE;
+            if (isShort || session.reportedShort) {
+                sendDelayed(session, isActive, new Note(Note.Kind.DELIVERED, session.key, share));
             }
-            session.toldShort = isShort;
+            session.reportedShort = isShort;
         }
     }
 
-    /** At the stated interval: how full link and uplink are, on one session of each front. */
-    void reportLinkUse(Collection<BoxSession> sessions, Predicate<BoxSession> still) {
-        shownLink = shown(network.linkUtilization(cell));
-        shownUplink = shown(network.uplinkUtilization(rack));
-        Set<Integer> told = new HashSet<>();
+    /** Reports the use of link and uplink, on one session of each front. Called at the day's report interval. */
+    void reportLinkUse(Collection<BoxSession> sessions, Predicate<BoxSession> isActive) {
+        reportedLinkUse = limitUse(network.linkUtilization(cell));
+        reportedUplinkUse = limitUse(network.uplinkUtilization(rack));
+        Set<Integer> reportedFronts = new HashSet<>();
         for (BoxSession session : sessions) {
-            if (told.add(session.front)) {
-                late(
+            if (reportedFronts.add(session.front)) {
+                sendDelayed(
                         session,
-                        still,
-                        new Note(Note.Kind.LINK, session.key, shownLink),
-                        new Note(Note.Kind.UPLINK, session.key, shownUplink));
+                        isActive,
+                        new Note(Note.Kind.LINK, session.key, reportedLinkUse),
+                        new Note(Note.Kind.UPLINK, session.key, reportedUplinkUse));
             }
         }
     }
--- a/standin/src/main/java/spanrill/standin/box/MediaSender.java
+++ b/standin/src/main/java/spanrill/standin/box/MediaSender.java
@@ -12,132 +12,134 @@
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
-/** Moves a box's media: each session gets what the model's links grant it, and no byte more. */
+/** Sends a box's media. Each session is limited to the bytes that the model of links grants it. */
 final class MediaSender {
-    private static final double START_BOOST = 4;
-    private static final double STEADY_BOOST = 1.3;
+    private static final double START_RATE_FACTOR = 4;
+    private static final double STEADY_RATE_FACTOR = 1.3;
     private static final int START_SEGMENTS = 2;
 
-    private static final Pattern MEDIA = Pattern.compile("(?:(a)|(\\d{1,3}))/([1-9]\\d{0,8})\\.m4s");
+    private static final Pattern SEGMENT_NAME = Pattern.compile("(?:(a)|(\\d{1,3}))/([1-9]\\d{0,8})\\.m4s");
 
     private final Day day;
     private final Timeline timeline;
     private final LinkNetwork network;
     private final int cell;
-    private final Impairments condition;
-    private final LinkModelTimer modelTime;
+    private final Impairments impairments;
+    private final LinkModelTimer linkModelTimer;
     private final List<SegmentTransfer> transfers = new ArrayList<>();
 
-    MediaSender(Day day, LinkNetwork network, int cell, Impairments condition, LinkModelTimer modelTime) {
+    MediaSender(Day day, LinkNetwork network, int cell, Impairments impairments, LinkModelTimer linkModelTimer) {
         this.day = day;
         timeline = Timeline.repeating(day.titles().durationMs(), day.titles().segmentLengthsMs());
         this.network = network;
         this.cell = cell;
-        this.condition = condition;
-        this.modelTime = modelTime;
+        this.impairments = impairments;
+        this.linkModelTimer = linkModelTimer;
     }
 
-    private double bytesPerMs(BoxSession session, int rung) {
+    private double videoBytesPerMs(BoxSession session, int rung) {
         return day.ladder().kb().get(rung) * session.scale * day.byteScale();
     }
 
-    private long rate(BoxSession session) {
-        return Math.max(1, Math.round(bytesPerMs(session, session.rung) * 1000));
+    private long bytesPerS(BoxSession session) {
+        return Math.max(1, Math.round(videoBytesPerMs(session, session.rung) * 1000));
     }
 
-    void addSession(double now, BoxSession session) {
-        modelTime.measure(() -> session.flow = network.addFlow(now, cell, rate(session)));
+    void addSession(double nowMs, BoxSession session) {
+        linkModelTimer.measure(() -> session.flow = network.addFlow(nowMs, cell, bytesPerS(session)));
     }
 
-    void removeSession(double now, BoxSession session) {
-        modelTime.measure(() -> network.removeFlow(now, session.flow));
+    void removeSession(double nowMs, BoxSession session) {
+        linkModelTimer.measure(() -> network.removeFlow(nowMs, session.flow));
     }
 
-    void changeRung(double now, BoxSession session, int rung) {
+    void changeRung(double nowMs, BoxSession session, int rung) {
         session.rung = rung;
-        modelTime.measure(() -> network.setRate(now, session.flow, rate(session)));
+        linkModelTimer.measure(() -> network.setRate(nowMs, session.flow, bytesPerS(session)));
     }
 
     void clear() {
         transfers.clear();
     }
 
-    /** Begins to send a segment of a session by its name, or answers that there is none. */
+    /** Starts to send the named segment, or answers 404 for an unknown name and 416 for an invalid range. */
     void startSegment(Exchange exchange, BoxSession session, String name) {
-        long whole = length(session, name);
-        if (whole < 0) {
+        long totalBytes = segmentBytes(session, name);
+        if (totalBytes < 0) {
             exchange.respond(404, new Headers(), new byte[0]);
             return;
         }
         String range = exchange.head().headers().get("range");
         boolean partial = ByteRange.isSupported(range);
-        ByteRange part = partial ? ByteRange.resolve(range, whole) : new ByteRange(0, whole - 1);
-        if (part == null) {
-            exchange.respond(416, Headers.of("content-range", "bytes */" + whole), new byte[0]);
+        ByteRange requested = partial ? ByteRange.resolve(range, totalBytes) : new ByteRange(0, totalBytes - 1);
+        if (requested == null) {
+            exchange.respond(416, Headers.of("content-range", "bytes */" + totalBytes), new byte[0]);
             return;
         }
         Headers headers = Headers.of("content-type", "video/mp4");
         if (partial) {
-            headers.add("content-range", "bytes " + part.first() + "-" + part.last() + "/" + whole);
+            headers.add("content-range", "bytes " + requested.first() + "-" + requested.last() + "/" + totalBytes);
         }
-        exchange.start(partial ? 206 : 200, headers, part.length());
-        session.transfers++;
-        transfers.add(new SegmentTransfer(exchange, session, session.title + "/" + name, part.first(), part.length()));
+        exchange.start(partial ? 206 : 200, headers, requested.length());
+        session.openTransfers++;
+        transfers.add(new SegmentTransfer(
+                exchange, session, session.title + "/" + name, requested.first(), requested.length()));
     }
 
-    /** Length of a segment in bytes on the wire, -1 when there is none of that name. */
-    private long length(BoxSession session, String name) {
+    /** Returns the length of a segment in bytes on the wire, or -1 when no segment has this name. */
+    private long segmentBytes(BoxSession session, String name) {
         if (name.equals("init.mp4") || name.equals("a/init.mp4")) {
             return MediaBytes.INIT_BYTES;
         }
-        Matcher media = MEDIA.matcher(name);
-        if (!media.matches()) {
+        Matcher matcher = SEGMENT_NAME.matcher(name);
+        if (!matcher.matches()) {
             return -1;
         }
-        long ms = timeline.segmentLengthMs(Integer.parseInt(media.group(3)));
-        boolean audio = media.group(1) != null;
-        int rung = audio ? 0 : Integer.parseInt(media.group(2));
-        if (ms == 0 || rung >= day.ladder().kb().size()) {
+        long durationMs = timeline.segmentLengthMs(Integer.parseInt(matcher.group(3)));
+        boolean audio = matcher.group(1) != null;
+        int rung = audio ? 0 : Integer.parseInt(matcher.group(2));
+        if (durationMs == 0 || rung >= day.ladder().kb().size()) {
             return -1;
         }
-        double audioPerMs =
-                TrackRates.audioRate(day.titles().audioKb(), day.ladder().kb().get(session.floor) * session.scale)
+        double audioBytesPerMs =
+                TrackRates.audioRate(day.titles().audioKb(), day.ladder().kb().get(session.floorRung) * session.scale)
                         * day.byteScale();
-        if (audio && audioPerMs == 0) {
+        if (audio && audioBytesPerMs == 0) {
             return -1;
         }
-        session.segments += audio ? 0 : 1;
-        double perMs = audio ? audioPerMs : TrackRates.videoRate(bytesPerMs(session, rung), audioPerMs);
-        return Math.max(1, Math.round(perMs * ms));
+        session.videoSegments += audio ? 0 : 1;
+        double bytesPerMs =
+                audio ? audioBytesPerMs : TrackRates.videoRate(videoBytesPerMs(session, rung), audioBytesPerMs);
+        return Math.max(1, Math.round(bytesPerMs * durationMs));
     }
 
-    /** Moves transfers on: each session by what the model granted it since the last time. */
-    void sendGrantedBytes(double now, double ms, Iterable<BoxSession> sessions) {
-        modelTime.measure(() -> grant(now, ms, sessions));
+    /** Sends the bytes that the model granted to each session in the last {@code elapsedMs}. */
+    void sendGrantedBytes(double nowMs, double elapsedMs, Iterable<BoxSession> sessions) {
+        linkModelTimer.measure(() -> updateGrants(nowMs, elapsedMs, sessions));
         transfers.removeIf(transfer -> {
-            boolean silent = condition.isUnreachableFrom(transfer.session.zone);
-            boolean done = !silent && transfer.sendGrantedBytes();
-            if (silent || transfer.isReaderLimited()) {
-                // Not the link holds it back but its reader, or a cut.
-                transfer.session.idleMs += ms;
+            boolean unreachable = impairments.isUnreachableFrom(transfer.session.zone);
+            boolean done = !unreachable && transfer.sendGrantedBytes();
+            if (unreachable || transfer.isReaderLimited()) {
+                // The reader or a partition limits this transfer, not the link: the session counts as idle.
+                transfer.session.idleMs += elapsedMs;
             }
-            transfer.session.transfers -= done ? 1 : 0;
+            transfer.session.openTransfers -= done ? 1 : 0;
             return done;
         });
     }
 
-    private void grant(double now, double ms, Iterable<BoxSession> sessions) {
+    private void updateGrants(double nowMs, double elapsedMs, Iterable<BoxSession> sessions) {
         double share = network.share(cell);
         for (BoxSession session : sessions) {
-            double perMs = session.flow.rate() * share / 1000;
-            session.bucket.addGranted(network.grantedBytes(now, session.flow), perMs);
-            session.hadRoom |= share >= 1;
-            if (session.transfers == 0) {
-                session.idleMs += ms;
+            double bytesPerMs = session.flow.rate() * share / 1000;
+            session.bucket.addGranted(network.grantedBytes(nowMs, session.flow), bytesPerMs);
+            session.linkHadRoom |= share >= 1;
+            if (session.openTransfers == 0) {
+                session.idleMs += elapsedMs;
             } else if (share >= 1) {
-                // Where the link has room a player may fill its buffer.
-                double boost = session.segments <= START_SEGMENTS ? START_BOOST : STEADY_BOOST;
-                session.bucket.addBurst(perMs * ms * (boost - 1));
+                // A link with spare capacity lets the player fill its buffer faster than it plays.
+                double rateFactor = session.videoSegments <= START_SEGMENTS ? START_RATE_FACTOR : STEADY_RATE_FACTOR;
+                session.bucket.addBurst(bytesPerMs * elapsedMs * (rateFactor - 1));
             }
         }
     }
--- a/standin/src/main/java/spanrill/standin/box/NoteStreams.java
+++ b/standin/src/main/java/spanrill/standin/box/NoteStreams.java
@@ -12,7 +12,7 @@
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
-/** The notes streams of one box, one for each front that asked. */
+/** The open note streams of one box, at most one per front. */
 final class NoteStreams {
     private final EventLoop loop;
     private final Map<Integer, Exchange> streams = new HashMap<>();
@@ -21,8 +21,8 @@
         this.loop = loop;
     }
 
-    /** A front opens its stream; the first line tells which process answers. */
-    void open(Exchange exchange, long process) {
+    /** Opens a front's stream. The first note carries the start time of the box's process, which identifies it. */
+    void open(Exchange exchange, long processStartMs) {
         String front = String.valueOf(exchange.head().headers().get(BoxLink.FRONT));
         if (!front.matches("\\d{1,6}")) {
             exchange.respond(400, new Headers(), new byte[0]);
@@ -30,10 +30,10 @@
         }
         exchange.start(200, Headers.of("content-type", "text/tab-separated-values"), -1);
         streams.put(Integer.parseInt(front), exchange);
-        send(Integer.parseInt(front), new Note(Note.Kind.HELLO, "", process));
+        send(Integer.parseInt(front), new Note(Note.Kind.HELLO, "", processStartMs));
     }
 
-    /** Tells now. A front that doesn't read its notes misses them. */
+    /** Sends a note at once. The note is dropped when the front has no open stream or does not read it fast enough. */
     void send(int front, Note note) {
         Exchange exchange = streams.get(front);
         if (exchange != null && !exchange.isEnded() && exchange.isWritable()) {
@@ -41,26 +41,26 @@
         }
     }
 
-    /** Tells after a time, if that may still be told then. */
-    void sendDelayed(double ms, BooleanSupplier still, int front, Note... notes) {
+    /** Sends notes after a delay in ms, provided that the condition holds at that time. */
+    void sendDelayed(double delayMs, BooleanSupplier condition, int front, Note... notes) {
         loop.schedule(
                 () -> {
-                    if (still.getAsBoolean()) {
+                    if (condition.getAsBoolean()) {
                         for (Note note : notes) {
                             send(front, note);
                         }
                     }
                 },
-                (long) ms,
+                (long) delayMs,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Forgets streams that have ended. */
+    /** Removes streams that have ended. */
     void removeEnded() {
         streams.values().removeIf(Exchange::isEnded);
     }
 
-    /** The process died. */
+    /** Removes all streams, after the box's process died. */
     void clear() {
         streams.clear();
     }
--- a/standin/src/main/java/spanrill/standin/box/ReceivedBytes.java
+++ b/standin/src/main/java/spanrill/standin/box/ReceivedBytes.java
@@ -4,22 +4,22 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Media bytes that viewers' sockets gave, by token. Safe from any thread. */
+/** Counts the media bytes that viewers read from their sockets, by token. Thread-safe. */
 public final class ReceivedBytes {
     private final Map<String, LongAdder> byToken = new ConcurrentHashMap<>();
 
-    /** The count of a token. */
+    /** Returns the counter of a token, which is created on first use. */
     public LongAdder counter(String token) {
-        return byToken.computeIfAbsent(token, k -> new LongAdder());
+        return byToken.computeIfAbsent(token, ignored -> new LongAdder());
     }
 
-    /** Bytes so far, 0 for a token that never came. */
+    /** Returns the bytes received so far, 0 for an unknown token. */
     public long total(String token) {
         LongAdder adder = byToken.get(token);
         return adder == null ? 0 : adder.sum();
     }
 
-    /** A token's session is over. */
+    /** Removes the counter of a token whose session has ended. */
     public void remove(String token) {
         byToken.remove(token);
     }
--- a/standin/src/main/java/spanrill/standin/box/SegmentTransfer.java
+++ b/standin/src/main/java/spanrill/standin/box/SegmentTransfer.java
@@ -2,42 +2,42 @@
 
 import spanrill.wire.http.Exchange;
 
-/** A segment on its way out, as fast as its session's bucket lets it. */
+/** A response with a segment in progress, sent no faster than the session's bucket allows. */
 final class SegmentTransfer {
-    private static final int MOST_PART = 64 * 1024;
+    private static final int MAX_WRITE_BYTES = 64 * 1024;
 
     final Exchange exchange;
     final BoxSession session;
-    private final String segment;
-    private long next;
-    private long left;
+    private final String segmentName;
+    private long nextByte;
+    private long remaining;
 
-    SegmentTransfer(Exchange exchange, BoxSession session, String segment, long from, long bytes) {
+    SegmentTransfer(Exchange exchange, BoxSession session, String segmentName, long from, long length) {
         this.exchange = exchange;
         this.session = session;
-        this.segment = segment;
-        next = from;
-        left = bytes;
+        this.segmentName = segmentName;
+        nextByte = from;
+        remaining = length;
     }
 
-    /** True when its reader took less than it might have had. */
+    /** Returns true when the reader, not the link, limits the transfer: granted bytes remain unread. */
     boolean isReaderLimited() {
-        return left > 0 && session.bucket.availableBytes() > 0;
+        return remaining > 0 && session.bucket.availableBytes() > 0;
     }
 
-    /** Writes what is due; true when it is done. */
+    /** Writes the bytes that the bucket grants; returns true when the transfer has ended. */
     boolean sendGrantedBytes() {
         if (exchange.isEnded()) {
             return true;
         }
-        while (left > 0 && session.bucket.availableBytes() > 0 && exchange.isWritable()) {
-            int bytes = (int) Math.min(Math.min(left, MOST_PART), session.bucket.availableBytes());
-            exchange.write(MediaBytes.slice(segment, next, bytes));
-            next += bytes;
-            left -= bytes;
+        while (remaining > 0 && session.bucket.availableBytes() > 0 && exchange.isWritable()) {
+            int bytes = (int) Math.min(Math.min(remaining, MAX_WRITE_BYTES), session.bucket.availableBytes());
+            exchange.write(MediaBytes.slice(segmentName, nextByte, bytes));
+            nextByte += bytes;
+            remaining -= bytes;
             session.bucket.consume(bytes);
         }
-        if (left == 0) {
+        if (remaining == 0) {
             exchange.end();
             return true;
         }
--- a/standin/src/main/java/spanrill/standin/box/SessionSecondRecorder.java
+++ b/standin/src/main/java/spanrill/standin/box/SessionSecondRecorder.java
@@ -5,21 +5,21 @@
 import spanrill.results.ParquetRows;
 import spanrill.results.SecondRow;
 
-/** Closes each second of each session: what it asked, was granted by the model, and its viewer received. */
+/** Writes one row per session and second: the rate asked for, bytes granted by the model, bytes the viewer received. */
 final class SessionSecondRecorder {
-    /** A session that asked for nothing for longer than this was not busy in that second. */
-    private static final double IDLE_MS = 25;
+    /** A session that requested nothing for longer than this was not busy in that second. */
+    private static final double MAX_IDLE_MS = 25;
 
     private final LinkNetwork network;
-    private final ReceivedBytes receipts;
+    private final ReceivedBytes receivedBytes;
     private final ParquetRows<SecondRow> rows;
-    private long[] changesBefore = new long[0];
-    private double at = Double.NaN;
+    private long[] previousChanges = new long[0];
+    private double previousSecondAt = Double.NaN;
     private int second;
 
-    SessionSecondRecorder(LinkNetwork network, ReceivedBytes receipts, ParquetRows<SecondRow> rows) {
+    SessionSecondRecorder(LinkNetwork network, ReceivedBytes receivedBytes, ParquetRows<SecondRow> rows) {
         this.network = network;
-        this.receipts = receipts;
+        this.receivedBytes = receivedBytes;
         this.rows = rows;
     }
 
@@ -27,26 +27,27 @@
         if (rows == null) {
             return;
         }
-        double ms = Double.isNaN(at) ? 0 : now - at;
-        at = now;
+        double elapsedMs = Double.isNaN(previousSecondAt) ? 0 : now - previousSecondAt;
+        previousSecondAt = now;
         second++;
         long[] changes = new long[boxes.size()];
-        boolean[] moved = new boolean[boxes.size()];
+        boolean[] rackChanged = new boolean[boxes.size()];
         for (StandinBox box : boxes) {
             changes[box.cell()] = network.shareChanges(box.cell());
-            moved[box.rack()] |= changesBefore.length == 0 || changes[box.cell()] != changesBefore[box.cell()];
+            rackChanged[box.rack()] |=
+                    previousChanges.length == 0 || changes[box.cell()] != previousChanges[box.cell()];
         }
-        changesBefore = changes;
+        previousChanges = changes;
         for (StandinBox box : boxes) {
             for (BoxSession session : box.sessions()) {
                 double granted = network.grantedBytes(now, session.flow);
-                long received = receipts.total(session.token);
-                // A session that began within the second has no whole second to show.
-                if (session.receivedBefore >= 0 && ms > 0) {
+                long received = receivedBytes.total(session.token);
+                // A session that started within this second has no complete second to record.
+                if (session.receivedBefore >= 0 && elapsedMs > 0) {
                     rows.add(new SecondRow(
                             second,
                             session.token,
-                            session.cls,
+                            session.serviceClass,
                             session.front,
                             box.cell(),
                             box.rack(),
@@ -56,15 +57,15 @@
                             network.uplinkCapacity(box.rack()),
                             granted - session.grantedBefore,
                             received - session.receivedBefore,
-                            ms,
-                            session.idleMs <= IDLE_MS,
-                            !session.hadRoom,
-                            !moved[box.rack()]));
+                            elapsedMs,
+                            session.idleMs <= MAX_IDLE_MS,
+                            !session.linkHadRoom,
+                            !rackChanged[box.rack()]));
                 }
                 session.grantedBefore = granted;
                 session.receivedBefore = received;
                 session.idleMs = 0;
-                session.hadRoom = false;
+                session.linkHadRoom = false;
             }
         }
     }
--- a/standin/src/main/java/spanrill/standin/box/StandinBox.java
+++ b/standin/src/main/java/spanrill/standin/box/StandinBox.java
@@ -26,113 +26,113 @@
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
-/** One replay box. Its process may die and start anew on the same port. On one loop with all of its fleet. */
+/** One replay box. Its process may die and restart on the same port. Confined to the event loop of its fleet. */
 public final class StandinBox {
-    private static final double TURNED_AWAY_AT = 1.2;
-    private static final double IDLE_MS = 12_000;
+    private static final double REJECTING_LINK_USE = 1.2;
+    private static final double SESSION_IDLE_MS = 12_000;
 
     private final String id;
     private final String zone;
     private final int cell;
     private final int rack;
-    private final double linkKb;
+    private final double linkKilobytesPerS;
     private final LinkNetwork network;
     private final Day day;
     private final EventLoop loop;
-    private final EventRecorder tap;
+    private final EventRecorder recorder;
     private final UniformRandomProvider random;
-    private final Impairments condition = new Impairments();
+    private final Impairments impairments = new Impairments();
     private final Map<String, BoxSession> sessions = new LinkedHashMap<>();
-    private final BoxParameters rules;
-    private final MediaSender shaper;
-    private final LoadReporter teller;
-    private final NoteStreams notes;
+    private final BoxParameters parameters;
+    private final MediaSender mediaSender;
+    private final LoadReporter loadReporter;
+    private final NoteStreams noteStreams;
     private final Set<Channel> connections = new LinkedHashSet<>();
-    private final List<Runnable> parked = new ArrayList<>();
+    private final List<Runnable> deferred = new ArrayList<>();
     private Channel server;
     private int port;
-    private long process;
-    private double startedAt = Double.NEGATIVE_INFINITY;
-    private BoxProcess life;
-    private long spends;
+    private long processStartMs;
+    private double modelStartMs = Double.NEGATIVE_INFINITY;
+    private BoxProcess processModel;
+    private long spendingSetUps;
 
     StandinBox(
             String id,
             String zone,
             int cell,
             int rack,
-            double linkKb,
+            double linkKilobytesPerS,
             LinkNetwork network,
             Day day,
             EventLoop loop,
-            EventRecorder tap,
+            EventRecorder recorder,
             long seed,
-            LinkModelTimer modelTime) {
+            LinkModelTimer linkModelTimer) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
-        this.linkKb = linkKb;
+        this.linkKilobytesPerS = linkKilobytesPerS;
         this.rack = rack;
         this.network = network;
         this.day = day;
         this.loop = loop;
-        this.tap = tap;
+        this.recorder = recorder;
         random = RandomStreams.of(seed, id);
-        notes = new NoteStreams(loop);
-        Day.Boxes all = day.boxes();
-        rules = new BoxParameters(
-                all.places(),
-                all.setUpMs(),
-                all.coldMs(),
-                all.coldShare(),
+        noteStreams = new NoteStreams(loop);
+        Day.Boxes settings = day.boxes();
+        parameters = new BoxParameters(
+                settings.places(),
+                settings.setUpMs(),
+                settings.coldMs(),
+                settings.coldShare(),
                 day.rules().fallMultiple(),
                 day.rules().fallMs(),
-                TURNED_AWAY_AT);
-        shaper = new MediaSender(day, network, cell, condition, modelTime);
-        teller = new LoadReporter(day, network, cell, rack, notes, condition);
+                REJECTING_LINK_USE);
+        mediaSender = new MediaSender(day, network, cell, impairments, linkModelTimer);
+        loadReporter = new LoadReporter(day, network, cell, rack, noteStreams, impairments);
     }
 
-    /** Its name. */
+    /** Returns the name of the box. */
     public String id() {
         return id;
     }
 
-    /** Its hall. */
+    /** Returns the hall of the box. */
     public String zone() {
         return zone;
     }
 
-    /** Its cell. */
+    /** Returns the number of the cell, which is the index of the box in its fleet. */
     public int cell() {
         return cell;
     }
 
-    /** Number of its rack. */
+    /** Returns the number of the rack. */
     public int rack() {
         return rack;
     }
 
-    /** Its port. */
+    /** Returns the port of the box, 0 before its first start. */
     public int port() {
         return port;
     }
 
-    /** What troubles do to it. */
+    /** Returns the impairments that troubles impose on the box. */
     public Impairments impairments() {
-        return condition;
+        return impairments;
     }
 
-    /** Its link, kB a second, without troubles. */
+    /** Returns the capacity of the link without troubles, in kB a second. */
     public double linkKilobytesPerS() {
-        return linkKb;
+        return linkKilobytesPerS;
     }
 
-    /** Start of its process in ms since 1970; 0 when long ago. */
+    /** Returns the start time of the process in ms since 1970, or 0 for a process that was started warm. */
     public double processStartMs() {
-        return Double.isInfinite(startedAt) ? 0 : process;
+        return Double.isInfinite(modelStartMs) ? 0 : processStartMs;
     }
 
-    /** True while its process runs. */
+    /** Returns true while the process runs and listens. */
     public boolean isRunning() {
         return server != null;
     }
@@ -141,102 +141,102 @@
         return sessions.values();
     }
 
-    /** Sessions that it plays. */
+    /** Returns the number of sessions that the box plays. */
     public int activeSessions() {
         return sessions.size();
     }
 
-    /** Set-ups that spent something. */
+    /** Returns the number of set-ups that spent a token. */
     public long spendingSetUps() {
-        return spends;
+        return spendingSetUps;
     }
 
-    /** Starts its process, cold or long warm. On the loop; listens a moment later. */
+    /** Starts the process, cold or warm. Must be called on the loop; the port is bound asynchronously. */
     public void start(boolean cold) {
-        process = System.currentTimeMillis();
-        startedAt = cold ? tap.nowMs() : Double.NEGATIVE_INFINITY;
-        life = new BoxProcess(rules, startedAt, random);
-        condition.mute = false;
-        long started = process;
+        processStartMs = System.currentTimeMillis();
+        modelStartMs = cold ? recorder.nowMs() : Double.NEGATIVE_INFINITY;
+        processModel = new BoxProcess(parameters, modelStartMs, random);
+        impairments.unresponsive = false;
+        long expectedStartMs = processStartMs;
         LoopbackServer.bind(loop, port, connections::add, this::route).addListener(future -> {
             if (!future.isSuccess()) {
-                if (process == started) {
-                    // The port is still being given back.
+                if (processStartMs == expectedStartMs) {
+                    // The system has not released the port of the previous process yet.
                     loop.schedule(() -> start(cold), 20, TimeUnit.MILLISECONDS);
                 }
                 return;
             }
             server = ((io.netty.channel.ChannelFuture) future).channel();
             port = LoopbackServer.port(server);
-            tap.record(new TraceEvent.BoxStarted(tap.nowMs(), id, cold));
+            recorder.record(new TraceEvent.BoxStarted(recorder.nowMs(), id, cold));
         });
     }
 
-    /** Its process dies: all connections are reset. */
-    public void terminate(String why) {
+    /** Terminates the process: all connections are reset and all sessions end. */
+    public void terminate(String reason) {
         if (server == null) {
             return;
         }
-        tap.record(new TraceEvent.BoxStopped(tap.nowMs(), id, why));
+        recorder.record(new TraceEvent.BoxStopped(recorder.nowMs(), id, reason));
         server.close();
         server = null;
         for (Channel connection : connections) {
-            // No lingering: the peer sees a reset, as when a process is killed.
+            // Without lingering the peer sees a reset, as when a process is killed.
             try {
                 connection.config().setOption(ChannelOption.SO_LINGER, 0);
             } catch (ChannelException e) {
-                // Its peer closed it a moment ago: there is nothing left to reset.
+                // The peer has just closed the connection: nothing is left to reset.
                 continue;
             }
             connection.close();
         }
         connections.clear();
-        sessions.values().forEach(session -> shaper.removeSession(tap.nowMs(), session));
+        sessions.values().forEach(session -> mediaSender.removeSession(recorder.nowMs(), session));
         sessions.clear();
-        shaper.clear();
-        notes.clear();
-        parked.clear();
+        mediaSender.clear();
+        noteStreams.clear();
+        deferred.clear();
     }
 
-    /** It finishes what it has and takes nothing new. */
+    /** Drains the box: its sessions play on, new set-ups are rejected. */
     public void drain() {
-        life.drain();
+        processModel.drain();
     }
 
-    /** It goes silent, or comes back to life with what waits in its sockets. */
-    public void setUnresponsive(boolean on) {
-        condition.mute = on;
-        tap.record(new TraceEvent.BoxMuted(tap.nowMs(), id, on, null));
-        if (!on) {
-            unpark();
+    /** Makes the box unresponsive, or responsive again: it then handles the requests that were deferred. */
+    public void setUnresponsive(boolean unavailable) {
+        impairments.unresponsive = unavailable;
+        recorder.record(new TraceEvent.BoxMuted(recorder.nowMs(), id, unavailable, null));
+        if (!unavailable) {
+            runDeferred();
         }
     }
 
-    /** A hall can't reach it, or can again. */
-    public void setUnreachableFrom(String from, boolean on) {
-        if (condition.cut.contains(from) == on) {
+    /** Makes the box unreachable or reachable for fronts of a hall. */
+    public void setUnreachableFrom(String frontZone, boolean unavailable) {
+        if (impairments.unreachableFrom.contains(frontZone) == unavailable) {
             return;
         }
-        condition.setUnreachableFrom(from, on);
-        tap.record(new TraceEvent.BoxMuted(tap.nowMs(), id, on, from));
-        if (!on) {
-            unpark();
+        impairments.setUnreachableFrom(frontZone, unavailable);
+        recorder.record(new TraceEvent.BoxMuted(recorder.nowMs(), id, unavailable, frontZone));
+        if (!unavailable) {
+            runDeferred();
         }
     }
 
-    private void unpark() {
-        List<Runnable> due = new ArrayList<>(parked);
-        parked.clear();
+    private void runDeferred() {
+        List<Runnable> due = new ArrayList<>(deferred);
+        deferred.clear();
         due.forEach(Runnable::run);
     }
 
     // ---- requests
 
     private void route(Exchange exchange) {
-        String from = exchange.head().headers().get(BoxLink.ZONE);
-        if (condition.isUnreachableFrom(from == null ? "" : from)) {
-            // It stays unread: whoever gives up before it is read again was never heard.
-            parked.add(() -> {
+        String frontZone = exchange.head().headers().get(BoxLink.ZONE);
+        if (impairments.isUnreachableFrom(frontZone == null ? "" : frontZone)) {
+            // The request is deferred as if unread. A peer that closes the connection before then was never received.
+            deferred.add(() -> {
                 if (!exchange.isEnded()) {
                     route(exchange);
                 }
@@ -246,107 +246,114 @@
         String path = exchange.head().path();
         String method = exchange.head().method();
         if (path.equals(BoxLink.SETUP_PATH) && method.equals("POST")) {
-            setUp(exchange);
+            handleSetUp(exchange);
         } else if (path.equals(BoxLink.NOTES_PATH)) {
-            notes.open(exchange, process);
+            noteStreams.open(exchange, processStartMs);
         } else if (path.startsWith(BoxLink.ATTEMPT_PATH_PREFIX)) {
-            attempt(exchange, method, path.substring(BoxLink.ATTEMPT_PATH_PREFIX.length()));
+            handleAttemptRequest(exchange, method, path.substring(BoxLink.ATTEMPT_PATH_PREFIX.length()));
         } else {
             exchange.respond(404, new Headers(), new byte[0]);
         }
     }
 
-    private void setUp(Exchange exchange) {
-        Headers h = exchange.head().headers();
-        String key = h.get(BoxLink.ATTEMPT_KEY);
-        Day.DayClass type = day.classes().get(String.valueOf(h.get(BoxLink.CLASS)));
+    private void handleSetUp(Exchange exchange) {
+        Headers requestHeaders = exchange.head().headers();
+        String key = requestHeaders.get(BoxLink.ATTEMPT_KEY);
+        Day.DayClass serviceClass = day.classes().get(String.valueOf(requestHeaders.get(BoxLink.CLASS)));
         int front;
         int rung;
         try {
-            front = Integer.parseInt(String.valueOf(h.get(BoxLink.FRONT)));
-            rung = Integer.parseInt(String.valueOf(h.get(BoxLink.RUNG)));
+            front = Integer.parseInt(String.valueOf(requestHeaders.get(BoxLink.FRONT)));
+            rung = Integer.parseInt(String.valueOf(requestHeaders.get(BoxLink.RUNG)));
         } catch (NumberFormatException e) {
             exchange.respond(400, new Headers(), new byte[0]);
             return;
         }
-        if (key == null || type == null || rung < 0 || rung >= day.ladder().kb().size()) {
+        if (key == null
+                || serviceClass == null
+                || rung < 0
+                || rung >= day.ladder().kb().size()) {
             exchange.respond(400, new Headers(), new byte[0]);
             return;
         }
-        double now = tap.nowMs();
-        boolean spend = "1".equals(h.get(BoxLink.SPENDS));
-        tap.record(new TraceEvent.SetUp(
+        double now = recorder.nowMs();
+        boolean spendsToken = "1".equals(requestHeaders.get(BoxLink.SPENDS));
+        recorder.record(new TraceEvent.SetUp(
                 now,
                 id,
                 front,
-                h.get(BoxLink.TOKEN),
+                requestHeaders.get(BoxLink.TOKEN),
                 key,
-                h.get(BoxLink.CLASS),
-                h.get(BoxLink.TITLE),
+                requestHeaders.get(BoxLink.CLASS),
+                requestHeaders.get(BoxLink.TITLE),
                 rung,
-                spend,
-                h.get(BoxLink.CONTINUES)));
-        BoxProcess.SetUpDecision reply = life.setUp(now, key, network.linkUtilization(cell), condition.slow);
+                spendsToken,
+                requestHeaders.get(BoxLink.CONTINUES)));
+        BoxProcess.SetUpDecision reply =
+                processModel.setUp(now, key, network.linkUtilization(cell), impairments.setUpSlowdown);
         if (reply instanceof BoxProcess.SetUpDecision.Crashes) {
             terminate("pushed over");
         } else if (reply instanceof BoxProcess.SetUpDecision.AlreadyKnown) {
-            answer(exchange, key, 409, null);
+            answerSetUp(exchange, key, 409, null);
         } else if (reply instanceof BoxProcess.SetUpDecision.Rejected away) {
-            answer(exchange, key, 503, away.reason());
+            answerSetUp(exchange, key, 503, away.reason());
         } else if (reply instanceof BoxProcess.SetUpDecision.Accepted works) {
-            BoxProcess own = life;
+            BoxProcess owner = processModel;
             exchange.onClosed(() -> {
-                tap.record(new TraceEvent.AttemptEnded(tap.nowMs(), key, "called off"));
-                own.onConnectionLost(key);
+                recorder.record(new TraceEvent.AttemptEnded(recorder.nowMs(), key, "called off"));
+                owner.onConnectionLost(key);
             });
             BoxSession session = new BoxSession(
                     key,
-                    h.get(BoxLink.TOKEN),
-                    h.get(BoxLink.CLASS),
+                    requestHeaders.get(BoxLink.TOKEN),
+                    requestHeaders.get(BoxLink.CLASS),
                     front,
-                    String.valueOf(h.get(BoxLink.ZONE)),
-                    h.get(BoxLink.TITLE),
-                    type.scale(),
-                    type.floor(),
+                    String.valueOf(requestHeaders.get(BoxLink.ZONE)),
+                    requestHeaders.get(BoxLink.TITLE),
+                    serviceClass.scale(),
+                    serviceClass.floor(),
                     rung,
                     now);
-            loop.schedule(() -> ready(exchange, session, own, spend), (long) works.workMs(), TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> finishSetUp(exchange, session, owner, spendsToken),
+                    (long) works.workMs(),
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    private void ready(Exchange exchange, BoxSession session, BoxProcess own, boolean spend) {
-        if (own != life || server == null) {
+    private void finishSetUp(Exchange exchange, BoxSession session, BoxProcess owner, boolean spendsToken) {
+        if (owner != processModel || server == null) {
             return;
         }
-        if (condition.isUnreachableFrom(session.zone)) {
-            parked.add(() -> ready(exchange, session, own, spend));
+        if (impairments.isUnreachableFrom(session.zone)) {
+            deferred.add(() -> finishSetUp(exchange, session, owner, spendsToken));
             return;
         }
-        if (!life.finishSetUp(session.key)) {
+        if (!processModel.finishSetUp(session.key)) {
             return;
         }
-        double now = tap.nowMs();
-        shaper.addSession(now, session);
+        double now = recorder.nowMs();
+        mediaSender.addSession(now, session);
         sessions.put(session.key, session);
-        session.process = life;
-        session.seenAt = now;
-        spends += spend ? 1 : 0;
-        tap.record(new TraceEvent.AttemptStarted(now, session.key));
+        session.process = processModel;
+        session.lastRequestAt = now;
+        spendingSetUps += spendsToken ? 1 : 0;
+        recorder.record(new TraceEvent.AttemptStarted(now, session.key));
         exchange.onClosed(() -> {});
-        if (random.nextDouble() < condition.answerLost) {
+        if (random.nextDouble() < impairments.lostAnswerShare) {
             exchange.channel().close();
             return;
         }
-        tap.record(new TraceEvent.SetUpAnswer(now, session.key, 200, null));
+        recorder.record(new TraceEvent.SetUpAnswer(now, session.key, 200, null));
         Headers headers = Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load()), "content-type", "video/mp4");
         exchange.start(200, headers, MediaBytes.INIT_BYTES);
         exchange.write(MediaBytes.slice(session.title, 0, MediaBytes.INIT_BYTES));
         exchange.end();
-        teller.reportSessionStart(session);
+        loadReporter.reportSessionStart(session);
     }
 
-    private void answer(Exchange exchange, String key, int status, String reason) {
-        tap.record(new TraceEvent.SetUpAnswer(tap.nowMs(), key, status, reason));
+    private void answerSetUp(Exchange exchange, String key, int status, String reason) {
+        recorder.record(new TraceEvent.SetUpAnswer(recorder.nowMs(), key, status, reason));
         Headers headers = Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load()));
         if (reason != null) {
             headers.add(BoxLink.REASON, reason);
@@ -355,17 +362,17 @@
     }
 
     private Load load() {
-        return teller.load(life.inflight());
+        return loadReporter.load(processModel.inflight());
     }
 
-    private void attempt(Exchange exchange, String method, String rest) {
+    private void handleAttemptRequest(Exchange exchange, String method, String rest) {
         int slash = rest.indexOf('/');
         String key = slash < 0 ? rest : rest.substring(0, slash);
         String name = slash < 0 ? "" : rest.substring(slash + 1);
         if (method.equals("DELETE")) {
-            boolean ran = life.cancel(key);
-            end(key, "released");
-            tap.record(new TraceEvent.CancelAnswer(tap.nowMs(), key, ran));
+            boolean ran = processModel.cancel(key);
+            endSession(key, "released");
+            recorder.record(new TraceEvent.CancelAnswer(recorder.nowMs(), key, ran));
             exchange.respond(
                     204,
                     Headers.of(
@@ -374,14 +381,14 @@
                             BoxLink.RAN,
                             ran ? "1" : "0",
                             BoxLink.UPTIME_MS,
-                            Long.toString(System.currentTimeMillis() - process)),
+                            Long.toString(System.currentTimeMillis() - processStartMs)),
                     new byte[0]);
             return;
         }
         BoxSession session = sessions.get(key);
         if (session == null) {
-            // A rung may overtake the end of the set-up's work: it is not lost, but it isn't for this
-            // session yet.
+            // A request to change the rung may arrive before the set-up has finished; the session does not
+            // exist yet, so the front gets 404.
             exchange.respond(404, new Headers(), new byte[0]);
             return;
         }
@@ -393,57 +400,57 @@
                 exchange.respond(400, new Headers(), new byte[0]);
                 return;
             }
-            shaper.changeRung(tap.nowMs(), session, Integer.parseInt(to));
-            tap.record(new TraceEvent.RungChanged(tap.nowMs(), key, session.rung));
+            mediaSender.changeRung(recorder.nowMs(), session, Integer.parseInt(to));
+            recorder.record(new TraceEvent.RungChanged(recorder.nowMs(), key, session.rung));
             exchange.respond(204, Headers.of(BoxLink.LOAD, BoxLink.formatLoad(load())), new byte[0]);
         } else {
-            session.seenAt = tap.nowMs();
-            shaper.startSegment(exchange, session, name);
+            session.lastRequestAt = recorder.nowMs();
+            mediaSender.startSegment(exchange, session, name);
         }
     }
 
-    private void end(String key, String why) {
+    private void endSession(String key, String reason) {
         BoxSession session = sessions.remove(key);
         if (session != null) {
-            shaper.removeSession(tap.nowMs(), session);
+            mediaSender.removeSession(recorder.nowMs(), session);
         }
-        tap.record(new TraceEvent.AttemptEnded(tap.nowMs(), key, why));
+        recorder.record(new TraceEvent.AttemptEnded(recorder.nowMs(), key, reason));
     }
 
-    /** Each second: the share delivered. */
+    /** Reports the delivered share to the fronts. Called each second. */
     void reportDeliveredShare() {
-        teller.reportDeliveredShare(sessions.values(), this::plays);
+        loadReporter.reportDeliveredShare(sessions.values(), this::isProcessRunning);
     }
 
-    /** At the stated interval: how full link and uplink are. */
+    /** Reports the use of link and uplink to the fronts. Called at the day's report interval. */
     void reportLinkUse() {
-        teller.reportLinkUse(sessions.values(), this::plays);
+        loadReporter.reportLinkUse(sessions.values(), this::isProcessRunning);
     }
 
-    /** True while the process that a session was set up at runs, whether or not the session plays on. */
-    private boolean plays(BoxSession session) {
-        return session.process == life && server != null;
+    /** Returns true while the process that set the session up runs, whether or not the session still plays. */
+    private boolean isProcessRunning(BoxSession session) {
+        return session.process == processModel && server != null;
     }
 
-    /** Moves its bytes on. */
-    void sendGrantedBytes(double now, double ms) {
-        shaper.sendGrantedBytes(now, ms, sessions.values());
+    /** Sends the bytes that the model granted in the last {@code elapsedMs}. */
+    void sendGrantedBytes(double now, double elapsedMs) {
+        mediaSender.sendGrantedBytes(now, elapsedMs, sessions.values());
     }
 
-    /** Ends sessions that nobody asks for any more. */
+    /** Ends sessions without a segment request for the idle limit, and drops closed connections and note streams. */
     void endIdleSessions(double now) {
         List<BoxSession> due = new ArrayList<>();
         for (BoxSession session : sessions.values()) {
-            if (now - session.seenAt > IDLE_MS) {
+            if (now - session.lastRequestAt > SESSION_IDLE_MS) {
                 due.add(session);
             }
         }
         for (BoxSession session : due) {
-            life.onSessionEnded(session.key);
-            end(session.key, "idle");
-            teller.reportSessionEnd(session);
+            processModel.onSessionEnded(session.key);
+            endSession(session.key, "idle");
+            loadReporter.reportSessionEnd(session);
         }
         connections.removeIf(channel -> !channel.isActive());
-        notes.removeEnded();
+        noteStreams.removeEnded();
     }
 }
--- a/standin/src/main/java/spanrill/standin/box/UnshapedBox.java
+++ b/standin/src/main/java/spanrill/standin/box/UnshapedBox.java
@@ -15,22 +15,22 @@
 import spanrill.wire.http.Headers;
 
 /**
- * A box without a link: every set-up runs at once, every segment comes as fast as it is read. For
- * measuring.
+ * A box without link limits, for throughput measurements: every set-up succeeds at once and segments are sent as
+ * fast as the peer reads them.
  */
 public final class UnshapedBox {
-    private static final int PART = 64 * 1024;
+    private static final int MAX_WRITE_BYTES = 64 * 1024;
     private final Channel server;
     private final long segmentBytes;
     private final Map<String, String> lastAttempt = new HashMap<>();
 
-    /** Listens on a port that the system picks. */
+    /** Starts a box that listens on a port picked by the system; every media segment has the given length. */
     public UnshapedBox(EventLoop loop, long segmentBytes) throws IOException {
         this.segmentBytes = segmentBytes;
         server = LoopbackServer.listen(loop, 0, channel -> {}, this::route);
     }
 
-    /** Its port. */
+    /** Returns the port that the box listens on. */
     public int port() {
         return LoopbackServer.port(server);
     }
@@ -38,64 +38,64 @@
     private void route(Exchange exchange) {
         String path = exchange.head().path();
         if (path.equals(BoxLink.SETUP_PATH)) {
-            lastAttempt.put(front(exchange), exchange.head().headers().get(BoxLink.ATTEMPT_KEY));
+            lastAttempt.put(frontOf(exchange), exchange.head().headers().get(BoxLink.ATTEMPT_KEY));
             exchange.respond(
                     200, Headers.of(BoxLink.LOAD, "inflight=1;x0=0.1;x1=0.1"), new byte[MediaBytes.INIT_BYTES]);
         } else if (path.equals(BoxLink.NOTES_PATH)) {
             exchange.start(200, new Headers(), -1);
             exchange.write(Unpooled.copiedBuffer("hello\t\t1\n", StandardCharsets.US_ASCII));
-            tell(exchange, front(exchange));
+            sendNotesEachSecond(exchange, frontOf(exchange));
         } else if (exchange.head().method().equals("GET")) {
-            pump(exchange, path.endsWith("init.mp4") ? MediaBytes.INIT_BYTES : segmentBytes);
+            sendBytes(exchange, path.endsWith("init.mp4") ? MediaBytes.INIT_BYTES : segmentBytes);
         } else {
             exchange.respond(204, new Headers(), new byte[0]);
         }
     }
 
-    private static String front(Exchange exchange) {
+    private static String frontOf(Exchange exchange) {
         return String.valueOf(exchange.head().headers().get(BoxLink.FRONT));
     }
 
-    /** Tells each second, on the last attempt of the front, that link and uplink are nearly free. */
-    private void tell(Exchange notes, String front) {
-        notes.channel()
+    /** Sends a note each second, on the front's last attempt, that link and uplink have a use of 0.1. */
+    private void sendNotesEachSecond(Exchange stream, String front) {
+        stream.channel()
                 .eventLoop()
                 .schedule(
                         () -> {
-                            if (notes.isEnded()) {
+                            if (stream.isEnded()) {
                                 return;
                             }
                             String key = lastAttempt.get(front);
                             if (key != null) {
                                 String lines = new Note(Note.Kind.LINK, key, 0.1).format()
                                         + new Note(Note.Kind.UPLINK, key, 0.1).format();
-                                notes.write(Unpooled.copiedBuffer(lines, StandardCharsets.US_ASCII));
+                                stream.write(Unpooled.copiedBuffer(lines, StandardCharsets.US_ASCII));
                             }
-                            tell(notes, front);
+                            sendNotesEachSecond(stream, front);
                         },
                         1,
                         TimeUnit.SECONDS);
     }
 
-    private static void pump(Exchange exchange, long bytes) {
+    private static void sendBytes(Exchange exchange, long bytes) {
         exchange.start(200, Headers.of("content-type", "video/mp4"), bytes);
-        long[] left = {bytes};
-        Runnable more = () -> {
-            while (left[0] > 0 && exchange.isWritable() && !exchange.isEnded()) {
-                int part = (int) Math.min(PART, left[0]);
-                exchange.write(MediaBytes.slice("pump", bytes - left[0], part));
-                left[0] -= part;
+        long[] remaining = {bytes};
+        Runnable writeMore = () -> {
+            while (remaining[0] > 0 && exchange.isWritable() && !exchange.isEnded()) {
+                int size = (int) Math.min(MAX_WRITE_BYTES, remaining[0]);
+                exchange.write(MediaBytes.slice("pump", bytes - remaining[0], size));
+                remaining[0] -= size;
             }
-            if (left[0] == 0) {
-                left[0] = -1;
+            if (remaining[0] == 0) {
+                remaining[0] = -1;
                 exchange.end();
             }
         };
-        exchange.onWritable(more);
-        more.run();
+        exchange.onWritable(writeMore);
+        writeMore.run();
     }
 
-    /** Stops. */
+    /** Closes the listening port. */
     public void close() {
         server.close();
     }
--- a/standin/src/main/java/spanrill/standin/box/package-info.java
+++ b/standin/src/main/java/spanrill/standin/box/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-in replay boxes: links and uplinks shared alike, places, cold starts, set-ups that spend once, media
- * bytes that follow from title, rung and number.
+ * Stand-in replay boxes: links and uplinks shared equally among sessions, limited places, cold starts, set-ups
+ * that spend a token once, and media bytes determined by title, rung and segment number.
  */
 package spanrill.standin.box;
--- a/standin/src/main/java/spanrill/standin/package-info.java
+++ b/standin/src/main/java/spanrill/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for what a front meets: replay boxes ({@code box}), the registry of boxes ({@code registry}), the
- * issuer of tokens ({@code token}) and viewers ({@code viewer}); the day that they play ({@code day}) and the
- * troubles that befall it ({@code trouble}). Written from this project's own pages; loopback only.
+ * Stand-ins for the peers of a front, on loopback only: replay boxes ({@code box}), the registry of boxes
+ * ({@code registry}), the token issuer ({@code token}), viewers ({@code viewer}), and the injection of a day's
+ * troubles ({@code trouble}). They are implemented from this project's own specifications.
  */
 package spanrill.standin;
--- a/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
+++ b/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
@@ -25,37 +25,37 @@
 import spanrill.wire.http.Exchange;
 import spanrill.wire.http.Headers;
 
-/** Each front has a view of its own, which a change reaches at a time of its own. On one loop. */
+/** The stand-in registry. Each front has its own view, which each change reaches after its own delay. On one loop. */
 public final class StandinRegistry {
-    private static final long POLL_MS = 20_000;
+    private static final long POLL_TIMEOUT_MS = 20_000;
 
-    /** What one front has been able to hear. */
+    /** The entries and changes that have been published to one front. */
     private static final class View {
         private final Map<String, Entry> boxes = new LinkedHashMap<>();
         private final List<Entry> log = new ArrayList<>();
-        private Exchange waiting;
-        private long waitingVersion;
+        private Exchange pendingPoll;
+        private long pendingVersion;
         private ScheduledFuture<?> timeout;
     }
 
     private final ObjectMapper json = new ObjectMapper();
     private final EventLoop loop;
-    private final EventRecorder tap;
+    private final EventRecorder recorder;
     private final long epoch = System.currentTimeMillis();
     private final UniformRandomProvider random;
     private final ArrayNode titles = json.createArrayNode();
-    private final Map<String, Entry> truth = new LinkedHashMap<>();
+    private final Map<String, Entry> currentEntries = new LinkedHashMap<>();
     private final Map<Integer, View> views = new HashMap<>();
     private Channel server;
 
-    /** A registry; {@link #listen} opens it. */
-    public StandinRegistry(EventLoop loop, EventRecorder tap, long seed) {
+    /** Creates a registry; {@link #listen} starts it. */
+    public StandinRegistry(EventLoop loop, EventRecorder recorder, long seed) {
         this.loop = loop;
-        this.tap = tap;
+        this.recorder = recorder;
         random = RandomStreams.of(seed, "registry");
     }
 
-    /** Adds a title to the catalogue; before it listens. */
+    /** Adds a title to the catalogue. Must be called before the registry listens. */
     public void addTitle(String name, int home, int copies, long durationMs, List<Long> segmentMs, double audioKb) {
         ObjectNode title = titles.addObject()
                 .put("name", name)
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Adds all titles of a day, placed by its seed; before it listens. */
+    /** Adds all titles of a day, placed by the seed. Must be called before the registry listens. */
     public void addTitlesOf(Day day, long seed) {
         List<int[]> placement = new DayPlan(day, seed).titlePlacements();
         for (int i = 0; i < placement.size(); i++) {
@@ -86,39 +86,42 @@
         }
     }
 
-    /** Lists boxes that every front knows from the start; before it listens. */
+    /** Adds boxes that every front knows from the start. Must be called before the registry listens. */
     public void addBoxes(Collection<Entry> boxes) {
-        boxes.forEach(box -> truth.put(box.id(), box));
+        boxes.forEach(box -> currentEntries.put(box.id(), box));
     }
 
-    /** Opens it on a port that the system picks. */
+    /** Listens on a port that the system picks, and returns the port. */
     public int listen() throws IOException {
         server = LoopbackServer.listen(loop, 0, channel -> {}, this::route);
         return LoopbackServer.port(server);
     }
 
-    /** A box changed; each front hears it so much later, drawn from the range. On the loop. */
-    public void updateBox(Entry box, List<Double> lateMs) {
-        truth.put(box.id(), box);
+    /** Changes the entry of a box. Each front receives it after a delay drawn from the range. On the loop. */
+    public void updateBox(Entry box, List<Double> delayRangeMs) {
+        currentEntries.put(box.id(), box);
         for (View view : views.values()) {
-            loop.schedule(() -> hear(view, box), (long) RandomStreams.uniform(random, lateMs), TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> publish(view, box),
+                    (long) RandomStreams.uniform(random, delayRangeMs),
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    /** How a box is listed now. */
+    /** Returns the current entry of a box, or null for an unknown box. */
     public Entry currentEntry(String id) {
-        return truth.get(id);
+        return currentEntries.get(id);
     }
 
-    private void hear(View view, Entry box) {
-        Entry old = view.boxes.get(box.id());
-        if (old != null && old.startedAt() > box.startedAt()) {
-            // A later start was heard first: the old process's end is no news.
+    private void publish(View view, Entry box) {
+        Entry previous = view.boxes.get(box.id());
+        if (previous != null && previous.startedAt() > box.startedAt()) {
+            // The entry of a later process has been published first: the end of the earlier process is obsolete.
             return;
         }
         view.boxes.put(box.id(), box);
         view.log.add(box);
-        if (view.waiting != null) {
+        if (view.pendingPoll != null) {
             answer(view);
         }
     }
@@ -136,31 +139,31 @@
         }
         int number = Integer.parseInt(front);
         View view = views.computeIfAbsent(number, n -> {
-            View fresh = new View();
-            fresh.boxes.putAll(truth);
-            return fresh;
+            View created = new View();
+            created.boxes.putAll(currentEntries);
+            return created;
         });
-        if (view.waiting != null && !view.waiting.isEnded()) {
-            view.waiting.respond(204, new Headers(), new byte[0]);
+        if (view.pendingPoll != null && !view.pendingPoll.isEnded()) {
+            view.pendingPoll.respond(204, new Headers(), new byte[0]);
         }
-        cancel(view);
-        boolean known = Long.toString(epoch).equals(exchange.head().queryParameter("epoch"));
-        view.waiting = exchange;
-        view.waitingVersion = known ? Long.parseLong(version) : -1;
-        if (view.waitingVersion < view.log.size()) {
+        cancelTimeout(view);
+        boolean sameEpoch = Long.toString(epoch).equals(exchange.head().queryParameter("epoch"));
+        view.pendingPoll = exchange;
+        view.pendingVersion = sameEpoch ? Long.parseLong(version) : -1;
+        if (view.pendingVersion < view.log.size()) {
             answer(view, number);
             return;
         }
         view.timeout = loop.schedule(
                 () -> {
                     exchange.respond(204, new Headers(), new byte[0]);
-                    view.waiting = null;
+                    view.pendingPoll = null;
                 },
-                POLL_MS,
+                POLL_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private static void cancel(View view) {
+    private static void cancelTimeout(View view) {
         if (view.timeout != null) {
             view.timeout.cancel(false);
             view.timeout = null;
@@ -168,30 +171,30 @@
     }
 
     private void answer(View view) {
-        views.forEach((number, each) -> {
-            if (each == view) {
+        views.forEach((number, candidate) -> {
+            if (candidate == view) {
                 answer(view, number);
             }
         });
     }
 
     private void answer(View view, int front) {
-        cancel(view);
-        Exchange exchange = view.waiting;
-        view.waiting = null;
+        cancelTimeout(view);
+        Exchange exchange = view.pendingPoll;
+        view.pendingPoll = null;
         if (exchange.isEnded()) {
             return;
         }
-        boolean whole = view.waitingVersion < 0 || view.waitingVersion > view.log.size();
+        boolean complete = view.pendingVersion < 0 || view.pendingVersion > view.log.size();
         Collection<Entry> boxes =
-                whole ? view.boxes.values() : view.log.subList((int) view.waitingVersion, view.log.size());
+                complete ? view.boxes.values() : view.log.subList((int) view.pendingVersion, view.log.size());
         ObjectNode document = json.createObjectNode()
-                .put("kind", whole ? "whole" : "changes")
+                .put("kind", complete ? "whole" : "changes")
                 .put("epoch", epoch)
-                .put("base", view.waitingVersion)
+                .put("base", view.pendingVersion)
                 .put("version", view.log.size());
         ArrayNode list = document.putArray("boxes");
-        double now = tap.nowMs();
+        double now = recorder.nowMs();
         for (Entry box : boxes) {
             list.addObject()
                     .put("id", box.id())
@@ -203,9 +206,9 @@
                     .put("state", box.state())
                     .put("weight", box.weight())
                     .put("startedAt", box.startedAt());
-            tap.record(new TraceEvent.BoxStateSent(now, front, box.id(), box.state(), box.startedAt()));
+            recorder.record(new TraceEvent.BoxStateSent(now, front, box.id(), box.state(), box.startedAt()));
         }
-        if (whole) {
+        if (complete) {
             document.set("titles", titles);
         }
         exchange.respond(
@@ -214,7 +217,7 @@
                 document.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Stops. */
+    /** Closes the listening port. */
     public void close() {
         if (server != null) {
             server.close();
--- a/standin/src/main/java/spanrill/standin/registry/package-info.java
+++ b/standin/src/main/java/spanrill/standin/registry/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in registry: tells each front of boxes, late, over HTTP long-poll. */
+/** The stand-in registry: publishes the list of boxes to fronts over HTTP long polling, with delays. */
 package spanrill.standin.registry;
--- a/standin/src/main/java/spanrill/standin/token/Issuer.java
+++ b/standin/src/main/java/spanrill/standin/token/Issuer.java
@@ -21,13 +21,13 @@
 import java.text.ParseException;
 import java.util.Date;
 
-/** Signs session tokens by one key, ES256 or HS256 by the key's kind. Safe from any thread. */
+/** Signs session tokens with one key: ES256 for an EC key, HS256 for a secret key. Thread-safe. */
 public final class Issuer {
     private final JWK key;
     private final JWSSigner signer;
     private final JWSAlgorithm algorithm;
 
-    /** An issuer with this private or secret key, which must have an id. */
+    /** Creates an issuer with a private or secret key, which must have an id. */
     public Issuer(JWK key) throws JOSEException {
         this.key = key;
         if (key instanceof ECKey ec) {
@@ -39,30 +39,30 @@
         }
     }
 
-    /** An issuer with a new ES256 key. */
+    /** Creates an issuer with a new ES256 key. */
     public static Issuer generate(String keyId) throws JOSEException {
         return new Issuer(new ECKeyGenerator(Curve.P_256).keyID(keyId).generate());
     }
 
-    /** An issuer by the first key of a private JWK set. */
+    /** Creates an issuer with the first key of a private JWK set in a file. */
     public static Issuer read(Path file) throws IOException {
         try {
             JWKSet set = JWKSet.parse(Files.readString(file));
             if (set.getKeys().isEmpty()) {
-                throw new IOException(file + ": has no key");
+                throw new IOException(file + ": the JWK set has no key");
             }
             return new Issuer(set.getKeys().get(0));
         } catch (ParseException | JOSEException | ClassCastException e) {
-            throw new IOException(file + ": is no private JWK set of EC or oct keys");
+            throw new IOException(file + ": not a private JWK set of EC or oct keys");
         }
     }
 
-    /** What a verifier needs, as a JWK set: public for EC keys; the secret itself for oct keys. */
+    /** Returns the key that verifies tokens: the public key of an EC key, the secret itself of an oct key. */
     public JWK verificationKey() {
         return key instanceof ECKey ? key.toPublicJWK() : key;
     }
 
-    /** Writes the keys that verify tokens of these issuers, in one step. */
+    /** Writes the keys that verify tokens of these issuers as a JWK set, replacing the file atomically. */
     public static void writeVerificationKeys(Path file, Issuer... issuers) throws IOException {
         write(
                 file,
@@ -71,25 +71,26 @@
                         .toList()));
     }
 
-    /** Writes this issuer's own key. */
+    /** Writes the private or secret key of this issuer as a JWK set, replacing the file atomically. */
     public void writePrivateKey(Path file) throws IOException {
         write(file, new JWKSet(key));
     }
 
     private static void write(Path file, JWKSet set) throws IOException {
-        Path beside = file.resolveSibling(file.getFileName() + ".new");
-        Files.writeString(beside, set.toString(false));
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        Files.writeString(temporary, set.toString(false));
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Signs a token that is valid for so many seconds from now. */
-    public String issue(String id, String viewer, String title, String cls, String tenant, int top, long validS) {
+    /** Returns a signed token that is valid for {@code validS} seconds from now. */
+    public String issue(
+            String id, String viewer, String title, String serviceClass, String tenant, int topRung, long validS) {
         JWTClaimsSet.Builder claims = new JWTClaimsSet.Builder()
                 .jwtID(id)
                 .subject(viewer)
                 .claim("title", title)
-                .claim("class", cls)
-                .claim("top", top)
+                .claim("class", serviceClass)
+                .claim("top", topRung)
                 .expirationTime(new Date(System.currentTimeMillis() + validS * 1000));
         if (tenant != null) {
             claims.claim("tenant", tenant);
@@ -97,7 +98,7 @@
         return sign(claims.build());
     }
 
-    /** Signs any claims. */
+    /** Returns a signed token with arbitrary claims. */
     public String sign(JWTClaimsSet claims) {
         try {
             SignedJWT jwt = new SignedJWT(
@@ -105,7 +106,7 @@
             jwt.sign(signer);
             return jwt.serialize();
         } catch (JOSEException e) {
-            throw new IllegalStateException("a token can't be signed", e);
+            throw new IllegalStateException("cannot sign a token", e);
         }
     }
 }
--- a/standin/src/main/java/spanrill/standin/token/IssuerService.java
+++ b/standin/src/main/java/spanrill/standin/token/IssuerService.java
@@ -9,12 +9,12 @@
 import spanrill.wire.http.Headers;
 
 /**
- * An issuer over HTTP: {@code GET /token?title=T&class=C&viewer=V&top=N} answers with a token, {@code GET
- * /keys} with the JWK set that verifies it.
+ * A token issuer over HTTP: {@code GET /token?title=T&class=C&viewer=V&top=N} returns a token, and {@code GET
+ * /keys} returns the JWK set that verifies it.
  */
 public final class IssuerService {
-    private static final int TOP = 63;
-    private static final long VALID_S = 300;
+    private static final int DEFAULT_TOP_RUNG = 63;
+    private static final long TOKEN_VALIDITY_S = 300;
 
     private final Issuer issuer;
 
@@ -22,7 +22,7 @@
         this.issuer = issuer;
     }
 
-    /** Listens on a port that the system picks, and gives it. */
+    /** Listens on a port that the system picks, and returns the port. */
     public static int listen(EventLoop loop, Issuer issuer) throws IOException {
         return LoopbackServer.port(LoopbackServer.listen(loop, 0, channel -> {}, new IssuerService(issuer)::route));
     }
@@ -35,17 +35,17 @@
                         new Headers(),
                         "application/jwk-set+json",
                         new JWKSet(issuer.verificationKey()).toString(false));
-            case "/token" -> token(exchange);
+            case "/token" -> issueToken(exchange);
             default -> exchange.respond(404, new Headers(), "text/plain", "there is /token and /keys\n");
         }
     }
 
-    private void token(Exchange exchange) {
+    private void issueToken(Exchange exchange) {
         String title = exchange.head().queryParameter("title");
-        String cls = exchange.head().queryParameter("class");
+        String serviceClass = exchange.head().queryParameter("class");
         String viewer = exchange.head().queryParameter("viewer");
-        String top = exchange.head().queryParameter("top");
-        if (title == null || cls == null || (top != null && !top.matches("\\d{1,3}"))) {
+        String topRung = exchange.head().queryParameter("top");
+        if (title == null || serviceClass == null || (topRung != null && !topRung.matches("\\d{1,3}"))) {
             exchange.respond(400, new Headers(), "text/plain", "title and class must be given, top a number\n");
             return;
         }
@@ -57,10 +57,10 @@
                                 UUID.randomUUID().toString(),
                                 viewer == null ? "viewer" : viewer,
                                 title,
-                                cls,
+                                serviceClass,
                                 null,
-                                top == null ? TOP : Integer.parseInt(top),
-                                VALID_S)
+                                topRung == null ? DEFAULT_TOP_RUNG : Integer.parseInt(topRung),
+                                TOKEN_VALIDITY_S)
                         + "\n");
     }
 }
--- a/standin/src/main/java/spanrill/standin/trouble/FaultInjector.java
+++ b/standin/src/main/java/spanrill/standin/trouble/FaultInjector.java
@@ -13,7 +13,7 @@
 import spanrill.standin.registry.Entry;
 import spanrill.standin.registry.StandinRegistry;
 
-/** Does the effects of a day's troubles to real boxes and fronts. On the loop of the boxes. */
+/** Applies the effects of a day's troubles to boxes and fronts at their times. Runs on the loop of the boxes. */
 public final class FaultInjector {
     private final Day day;
     private final List<Effect> effects;
@@ -21,67 +21,67 @@
     private final StandinRegistry registry;
     private final FrontControl fronts;
     private final HallNetwork halls;
-    private final HallHealNotifier watch;
+    private final HallHealNotifier healNotifier;
     private final EventLoop loop;
-    private final Consumer<String> say;
+    private final Consumer<String> log;
 
-    /** A director that tells what it does. */
+    /** Creates an injector; {@code log} receives a line for each trouble and each flash crowd as it begins. */
     public FaultInjector(
             Day day,
             List<Effect> effects,
             BoxFleet fleet,
             StandinRegistry registry,
             FrontControl fronts,
-            HallHealNotifier watch,
+            HallHealNotifier healNotifier,
             EventLoop loop,
-            Consumer<String> say) {
-        this.watch = watch;
+            Consumer<String> log) {
+        this.healNotifier = healNotifier;
         this.day = day;
         this.effects = effects;
         this.fleet = fleet;
         this.registry = registry;
         this.fronts = fronts;
         this.loop = loop;
-        this.say = say;
+        this.log = log;
         halls = new HallNetwork(
                 day.zones(), day.distances().sameMs(), day.distances().crossMs());
     }
 
-    /** The day begins now. */
+    /** Schedules all troubles and effects; the day begins now. */
     public void start() {
         for (Day.Trouble trouble : day.troubles()) {
-            later(trouble.atMs(), () -> say.accept(trouble.kind().name().toLowerCase(java.util.Locale.ROOT)));
+            schedule(trouble.atMs(), () -> log.accept(trouble.kind().name().toLowerCase(java.util.Locale.ROOT)));
         }
         for (Day.Flash flash : day.flashes()) {
-            later(flash.atMs(), () -> say.accept("final whistle, title " + flash.title()));
+            schedule(flash.atMs(), () -> log.accept("flash crowd, title " + flash.title()));
         }
-        effects.forEach(effect -> later(effect.atMs(), () -> run(effect)));
+        effects.forEach(effect -> schedule(effect.atMs(), () -> apply(effect)));
     }
 
-    private void later(double ms, Runnable action) {
-        loop.schedule(action, (long) (ms * 1000), TimeUnit.MICROSECONDS);
+    private void schedule(double delayMs, Runnable action) {
+        loop.schedule(action, (long) (delayMs * 1000), TimeUnit.MICROSECONDS);
     }
 
-    private void run(Effect effect) {
+    private void apply(Effect effect) {
         if (effect instanceof Effect.BoxStops e) {
             boolean announced = e.reason().equals("replaced");
             box(e.box()).terminate(e.reason());
-            listed(
+            updateRegistry(
                     box(e.box()),
                     "gone",
                     announced ? day.registry().noticeMs() : day.registry().silentMs());
         } else if (effect instanceof Effect.BoxStarts e) {
             box(e.box()).start(true);
-            listed(
+            updateRegistry(
                     box(e.box()),
                     "ready",
                     e.unannounced() ? day.registry().silentMs() : day.registry().noticeMs());
         } else if (effect instanceof Effect.BoxDrains e) {
             box(e.box()).drain();
-            listed(box(e.box()), "draining", day.registry().noticeMs());
+            updateRegistry(box(e.box()), "draining", day.registry().noticeMs());
         } else if (effect instanceof Effect.BoxHangs e) {
             box(e.box()).setUnresponsive(true);
-            listed(box(e.box()), "gone", day.registry().silentMs());
+            updateRegistry(box(e.box()), "gone", day.registry().silentMs());
         } else if (effect instanceof Effect.BoxSlowdown e) {
             box(e.box()).impairments().setSetUpSlowdown(e.factor());
         } else if (effect instanceof Effect.BoxLinkShare e) {
@@ -93,7 +93,7 @@
         } else if (effect instanceof Effect.RackUplinkShare e) {
             fleet.setUplinkShare(e.rack(), e.share());
         } else if (effect instanceof Effect.HallIsolation e) {
-            cut(e.hall(), e.isolated());
+            setHallCut(e.hall(), e.isolated());
         } else if (effect instanceof Effect.FrontStops e) {
             fronts.kill(e.front());
         } else if (effect instanceof Effect.FrontStarts e) {
@@ -107,25 +107,26 @@
         return fleet.boxes().get(number);
     }
 
-    /** Who can't reach whom follows from all cuts that are on. */
-    private void cut(int hall, boolean on) {
-        if (on) {
+    /** Cuts a hall off or reconnects it. Which halls reach which boxes depends on all cuts in force. */
+    private void setHallCut(int hall, boolean isCut) {
+        if (isCut) {
             halls.isolate(hall);
-            watch.onIsolated(hall);
+            healNotifier.onIsolated(hall);
         }
-        boolean healed = !on && halls.heal(hall);
+        boolean healed = !isCut && halls.heal(hall);
         for (StandinBox box : fleet.boxes()) {
             for (int from = 0; from < halls.size(); from++) {
                 box.setUnreachableFrom(halls.name(from), !halls.canReach(from, halls.indexOf(box.zone())));
             }
         }
         if (healed) {
-            watch.onHealed(hall);
+            healNotifier.onHealed(hall);
         }
     }
 
-    private void listed(StandinBox box, String state, List<Double> late) {
+    private void updateRegistry(StandinBox box, String state, List<Double> delayRangeMs) {
         registry.updateBox(
-                new Entry(box.id(), box.port(), box.zone(), "std", box.cell(), state, 1, box.processStartMs()), late);
+                new Entry(box.id(), box.port(), box.zone(), "std", box.cell(), state, 1, box.processStartMs()),
+                delayRangeMs);
     }
 }
--- a/standin/src/main/java/spanrill/standin/trouble/FrontControl.java
+++ b/standin/src/main/java/spanrill/standin/trouble/FrontControl.java
@@ -1,16 +1,16 @@
 package spanrill.standin.trouble;
 
-/** What troubles may do to fronts. */
+/** Control of the front processes that troubles of a day act on. */
 public interface FrontControl {
-    /** How many. */
+    /** Returns the number of fronts. */
     int count();
 
-    /** Kills its process outright. */
+    /** Kills the process of a front without a graceful shutdown. */
     void kill(int front);
 
-    /** Starts it again. */
+    /** Restarts a front that was killed. */
     void restart(int front);
 
-    /** Lets its process stand still, or go on. */
-    void stall(int front, boolean on);
+    /** Pauses or resumes the process of a front. */
+    void stall(int front, boolean paused);
 }
--- a/standin/src/main/java/spanrill/standin/trouble/package-info.java
+++ b/standin/src/main/java/spanrill/standin/trouble/package-info.java
@@ -1,2 +1,2 @@
-/** Troubles of a day, done to boxes, racks, halls and fronts at their times. */
+/** Injection of a day's troubles into boxes, racks, halls and fronts. */
 package spanrill.standin.trouble;
--- a/standin/src/main/java/spanrill/standin/viewer/AnswerProbe.java
+++ b/standin/src/main/java/spanrill/standin/viewer/AnswerProbe.java
@@ -7,42 +7,41 @@
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.HttpLimits;
 
-/** Asks for one session and tells what the answer was; the connection is closed then. For measuring. */
+/** Requests one session, reports the outcome and closes the connection. For load measurements. */
 public final class AnswerProbe {
-    /** What came of it. */
+    /** The outcome of a request. */
     public enum Outcome {
-        /** It plays. */
+        /** The session plays. */
         PLAYS,
-        /** Told to come again: refused, or no room. */
+        /** Answered 503: refused, or the front has no capacity. */
         RETRY_LATER,
         /** Any other answer. */
         OTHER,
-        /** No connection, or it was lost. */
+        /** The connection could not be opened, or was lost. */
         NO_CONNECTION,
-        /** No answer within the patience. */
+        /** No answer arrived within the patience. */
         TIMED_OUT
     }
 
-    /** Hears what came of it, once, on the loop. */
+    /** Receives the outcome, once, on the loop. */
     public interface Listener {
-        /** What came. */
-        void onOutcome(AnswerProbe.Outcome what);
+        /** Called with the outcome. */
+        void onOutcome(Outcome outcome);
     }
 
     private final Listener listener;
     private HttpClientConnection connection;
-    private ScheduledFuture<?> patience;
-    private boolean over;
+    private ScheduledFuture<?> timeout;
+    private boolean ended;
 
     private AnswerProbe(Listener listener) {
         this.listener = listener;
     }
 
-    /** Asks, and waits so long. */
+    /** Sends a request and waits at most {@code patienceMs} for its answer. */
     public static void ask(EventLoop loop, InetSocketAddress front, String target, long patienceMs, Listener listener) {
         AnswerProbe probe = new AnswerProbe(listener);
-        probe.patience =
-                loop.schedule(() -> probe.end(AnswerProbe.Outcome.TIMED_OUT), patienceMs, TimeUnit.MILLISECONDS);
+        probe.timeout = loop.schedule(() -> probe.end(Outcome.TIMED_OUT), patienceMs, TimeUnit.MILLISECONDS);
         HttpClientConnection.open(
                 loop,
                 front,
@@ -50,36 +49,34 @@
                 HttpLimits.CLIENT,
                 opened -> {
                     probe.connection = opened;
-                    if (probe.over) {
+                    if (probe.ended) {
                         opened.abort();
                         return;
                     }
-                    ResponseReader link = new ResponseReader(false, () -> {}, (head, all) -> {
+                    ResponseReader reader = new ResponseReader(false, () -> {}, (head, response) -> {
                         String answer = head == null ? null : head.headers().get("spanrill-answer");
                         probe.end(
                                 head == null
-                                        ? AnswerProbe.Outcome.NO_CONNECTION
+                                        ? Outcome.NO_CONNECTION
                                         : "plays".equals(answer)
-                                                ? AnswerProbe.Outcome.PLAYS
-                                                : head.status() == 503
-                                                        ? AnswerProbe.Outcome.RETRY_LATER
-                                                        : AnswerProbe.Outcome.OTHER);
+                                                ? Outcome.PLAYS
+                                                : head.status() == 503 ? Outcome.RETRY_LATER : Outcome.OTHER);
                     });
-                    if (!ResponseReader.get(opened, target, link)) {
-                        probe.end(AnswerProbe.Outcome.NO_CONNECTION);
+                    if (!ResponseReader.get(opened, target, reader)) {
+                        probe.end(Outcome.NO_CONNECTION);
                     }
                 },
-                cause -> probe.end(AnswerProbe.Outcome.NO_CONNECTION));
+                cause -> probe.end(Outcome.NO_CONNECTION));
     }
 
-    private void end(AnswerProbe.Outcome what) {
-        if (!over) {
-            over = true;
-            patience.cancel(false);
+    private void end(Outcome outcome) {
+        if (!ended) {
+            ended = true;
+            timeout.cancel(false);
             if (connection != null) {
                 connection.abort();
             }
-            listener.onOutcome(what);
+            listener.onOutcome(outcome);
         }
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/FrontLocator.java
+++ b/standin/src/main/java/spanrill/standin/viewer/FrontLocator.java
@@ -1,16 +1,16 @@
 package spanrill.standin.viewer;
 
-/** Where viewers find fronts just now. Safe from any thread. */
+/** Selects the front that a viewer connects to. Thread-safe. */
 public interface FrontLocator {
     /**
-     * A front for a viewer of a hall.
+     * Picks a front for a viewer of a hall.
      *
-     * @param zone number of the hall
-     * @param draw from 0 to 1
-     * @return number of the front; one may be named that is dead but not known to be
+     * @param hall number of the hall
+     * @param random a random number from 0 to 1
+     * @return number of the front, which may have died without having been detected
      */
-    int pick(int zone, double draw);
+    int pick(int hall, double random);
 
-    /** Its port, or 0 when it never listened. */
+    /** Returns the port of a front, or 0 when the front has never listened. */
     int port(int front);
 }
--- a/standin/src/main/java/spanrill/standin/viewer/ResponseReader.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ResponseReader.java
@@ -9,43 +9,43 @@
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.ResponseHead;
 
-/** One request of a viewer whose answer is read whole; large bodies are counted, not kept. */
+/** Reads the complete response to one request of a viewer. Bodies may be counted only, instead of kept. */
 final class ResponseReader implements HttpClientConnection.Listener {
-    private static final int KEPT_BYTES = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private final Runnable onHead;
-    private final BiConsumer<ResponseHead, ResponseReader> done;
+    private final BiConsumer<ResponseHead, ResponseReader> onDone;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final boolean keep;
+    private final boolean keepBody;
     private ResponseHead head;
     private long bytes;
-    private LongAdder counter;
-    private boolean over;
+    private LongAdder byteCounter;
+    private boolean finished;
 
     /**
-     * A request.
+     * Creates a reader for one response.
      *
-     * @param keep whether the body is kept
-     * @param onHead called at the head
-     * @param done called at the end, with null for the head when the answer was lost
+     * @param keepBody whether the body is kept, up to 64 KiB
+     * @param onHead called when the head of the response arrives
+     * @param onDone called at the end, with null for the head when the connection was lost
      */
-    ResponseReader(boolean keep, Runnable onHead, BiConsumer<ResponseHead, ResponseReader> done) {
-        this.keep = keep;
+    ResponseReader(boolean keepBody, Runnable onHead, BiConsumer<ResponseHead, ResponseReader> onDone) {
+        this.keepBody = keepBody;
         this.onHead = onHead;
-        this.done = done;
+        this.onDone = onDone;
     }
 
-    static boolean get(HttpClientConnection connection, String target, ResponseReader link) {
-        return connection.send("GET", target, Headers.of("host", "front"), new byte[0], link);
+    static boolean get(HttpClientConnection connection, String target, ResponseReader reader) {
+        return connection.send("GET", target, Headers.of("host", "front"), new byte[0], reader);
     }
 
-    /** Adds each part to this count as it comes. */
-    void countBytesIn(LongAdder received) {
-        counter = received;
+    /** Adds the size of each body part to a counter as the part arrives. */
+    void countBytesIn(LongAdder target) {
+        byteCounter = target;
     }
 
     boolean isDone() {
-        return over;
+        return finished;
     }
 
     ResponseHead head() {
@@ -61,13 +61,13 @@
     }
 
     void ignore() {
-        over = true;
+        finished = true;
     }
 
     @Override
-    public void onHead(ResponseHead answer) {
-        head = answer;
-        if (!over) {
+    public void onHead(ResponseHead received) {
+        head = received;
+        if (!finished) {
             onHead.run();
         }
     }
@@ -75,10 +75,10 @@
     @Override
     public void onData(ByteBuf part) {
         bytes += part.readableBytes();
-        if (counter != null) {
-            counter.add(part.readableBytes());
+        if (byteCounter != null) {
+            byteCounter.add(part.readableBytes());
         }
-        if (keep && body.size() + part.readableBytes() <= KEPT_BYTES) {
+        if (keepBody && body.size() + part.readableBytes() <= MAX_BODY_BYTES) {
             byte[] copy = new byte[part.readableBytes()];
             part.readBytes(copy);
             body.write(copy, 0, copy.length);
@@ -87,17 +87,17 @@
 
     @Override
     public void onEnd() {
-        if (!over) {
-            over = true;
-            done.accept(head, this);
+        if (!finished) {
+            finished = true;
+            onDone.accept(head, this);
         }
     }
 
     @Override
     public void onFailure(HttpClientConnection.Failure loss, String reason) {
-        if (!over) {
-            over = true;
-            done.accept(null, this);
+        if (!finished) {
+            finished = true;
+            onDone.accept(null, this);
         }
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/SegmentReader.java
+++ b/standin/src/main/java/spanrill/standin/viewer/SegmentReader.java
@@ -10,22 +10,28 @@
 import spanrill.wire.http.HttpLimits;
 import spanrill.wire.http.ResponseHead;
 
-/** Reads one path over and over on one connection, as fast as it comes. For measuring. */
+/** Requests one path repeatedly on one connection, as fast as responses arrive. For throughput measurements. */
 public final class SegmentReader implements HttpClientConnection.Listener {
     private final String target;
-    private final LongAdder bytes;
-    private final Consumer<String> fault;
+    private final LongAdder receivedBytes;
+    private final Consumer<String> onFault;
     private HttpClientConnection connection;
     private volatile boolean stopped;
 
-    /** Reads a path; bytes are added up, an answer other than 200 is told. */
-    public SegmentReader(String target, LongAdder bytes, Consumer<String> fault) {
+    /**
+     * Creates a reader of one path.
+     *
+     * @param target the path
+     * @param receivedBytes counts the body bytes
+     * @param onFault called with the cause when the connection fails or a response has a status other than 200
+     */
+    public SegmentReader(String target, LongAdder receivedBytes, Consumer<String> onFault) {
         this.target = target;
-        this.bytes = bytes;
-        this.fault = fault;
+        this.receivedBytes = receivedBytes;
+        this.onFault = onFault;
     }
 
-    /** Begins. */
+    /** Connects to a port of the loopback interface and sends the first request. */
     public void start(EventLoop loop, int port) {
         HttpClientConnection.open(
                 loop,
@@ -34,17 +40,17 @@
                 HttpLimits.CLIENT,
                 opened -> {
                     connection = opened;
-                    next();
+                    requestNext();
                 },
-                cause -> fault.accept(cause.toString()));
+                cause -> onFault.accept(cause.toString()));
     }
 
-    /** Stops after the answer at hand. */
+    /** Stops after the current response. */
     public void stop() {
         stopped = true;
     }
 
-    private void next() {
+    private void requestNext() {
         if (stopped || !connection.send("GET", target, Headers.of("host", "x"), new byte[0], this)) {
             connection.abort();
         }
@@ -53,24 +59,24 @@
     @Override
     public void onHead(ResponseHead head) {
         if (head.status() != 200) {
-            fault.accept("answered " + head.status());
+            onFault.accept("answered " + head.status());
         }
     }
 
     @Override
     public void onData(ByteBuf part) {
-        bytes.add(part.readableBytes());
+        receivedBytes.add(part.readableBytes());
     }
 
     @Override
     public void onEnd() {
-        next();
+        requestNext();
     }
 
     @Override
     public void onFailure(HttpClientConnection.Failure loss, String reason) {
         if (!stopped) {
-            fault.accept(loss + ": " + reason);
+            onFault.accept(loss + ": " + reason);
         }
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
+++ b/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
@@ -9,40 +9,41 @@
 import spanrill.wire.http.HttpClientConnection;
 import spanrill.wire.http.HttpLimits;
 
-/** Asks for one session and gives the base of its segments; the connection is closed then. */
+/** Requests one session, reports the base URL of its segments and closes the connection. */
 public final class SetUpProbe {
     private SetUpProbe() {}
 
-    /** Asks; one of the two is called, on the loop. */
+    /** Sends a request; one of the two callbacks is called, on the loop. */
     public static void ask(
             EventLoop loop,
             InetSocketAddress front,
             String title,
             String token,
-            Consumer<String> plays,
-            Consumer<Throwable> not) {
+            Consumer<String> onPlays,
+            Consumer<Throwable> onFailure) {
         HttpClientConnection.open(
                 loop,
                 front,
                 2000,
                 HttpLimits.CLIENT,
                 connection -> {
-                    ResponseReader link = new ResponseReader(true, () -> {}, (head, all) -> {
+                    ResponseReader reader = new ResponseReader(true, () -> {}, (head, response) -> {
                         connection.abort();
                         if (head == null || head.status() != 200) {
-                            not.accept(new IOException(head == null ? "connection lost" : "answered " + head.status()));
+                            onFailure.accept(
+                                    new IOException(head == null ? "connection lost" : "answered " + head.status()));
                             return;
                         }
                         try {
-                            plays.accept(MpdParser.parse(all.text()).baseUrl());
+                            onPlays.accept(MpdParser.parse(response.text()).baseUrl());
                         } catch (InvalidMpdException fault) {
-                            not.accept(fault);
+                            onFailure.accept(fault);
                         }
                     });
-                    if (!ResponseReader.get(connection, "/dash/" + title + "/manifest.mpd?token=" + token, link)) {
-                        not.accept(new IOException("connection lost"));
+                    if (!ResponseReader.get(connection, "/dash/" + title + "/manifest.mpd?token=" + token, reader)) {
+                        onFailure.accept(new IOException("connection lost"));
                     }
                 },
-                not);
+                onFailure);
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/Viewer.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Viewer.java
@@ -23,134 +23,142 @@
 import spanrill.wire.http.HttpLimits;
 import spanrill.wire.http.ResponseHead;
 
-/** One viewer on sockets: does what its {@link Player} says. On one loop. */
+/** One viewer over real connections. Its {@link Player} decides what to do next. Confined to one event loop. */
 final class Viewer {
-    private static final AtomicLong ASKS = new AtomicLong();
-    private static final int CONNECT_MS = 1000;
-    private static final long TOKEN_S = 900;
-    private static final double LOOK_MS = 500;
+    private static final AtomicLong REQUEST_NUMBERS = new AtomicLong();
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final long TOKEN_VALIDITY_S = 900;
+    private static final double PATIENCE_CHECK_MS = 500;
 
-    private final ViewerContext stage;
+    private final ViewerContext context;
     private final Arrival arrival;
     private final ViewerTraits traits;
     private final EventLoop loop;
     private final ViewerStats stats;
     private final UniformRandomProvider random;
     private final String title;
-    private final boolean waits;
+    private final boolean waitsForReconnection;
     private Player player;
-    private int tokens;
+    private int tokenCount;
     private String tokenId;
     private String token;
-    private LongAdder received;
+    private LongAdder receivedBytes;
     private int front;
-    private long ask;
-    private boolean waiting;
-    private ScheduledFuture<?> patience;
+    private long requestNumber;
+    private boolean awaitingAnswer;
+    private ScheduledFuture<?> answerTimeout;
     private HttpClientConnection connection;
     private Mpd mpd;
-    private boolean fetching;
+    private boolean awaitingSegment;
 
-    Viewer(ViewerContext stage, Arrival arrival, EventLoop loop) {
-        this.stage = stage;
+    Viewer(ViewerContext context, Arrival arrival, EventLoop loop) {
+        this.context = context;
         this.arrival = arrival;
         this.loop = loop;
-        stats = stage.stats();
+        stats = context.stats();
         traits = arrival.traits();
         random = RandomStreams.of(traits.seed() + 1);
         title = "title-" + traits.title();
-        waits = random.nextDouble() < stage.day().viewers().waitForHall();
+        waitsForReconnection = random.nextDouble() < context.day().viewers().waitForHall();
     }
 
     private double now() {
-        return stage.tap().nowMs();
+        return context.recorder().nowMs();
     }
 
-    private ScheduledFuture<?> after(double ms, Runnable action) {
-        return loop.schedule(action, (long) (ms * 1000), TimeUnit.MICROSECONDS);
+    private ScheduledFuture<?> schedule(double delayMs, Runnable action) {
+        return loop.schedule(action, (long) (delayMs * 1000), TimeUnit.MICROSECONDS);
     }
 
     void arrive() {
-        stage.tap().record(new TraceEvent.ViewerArrived(now(), name(), traits.serviceClass()));
-        player = new Player(traits, now(), stage.day().viewers().returnMs());
-        newToken();
+        context.recorder().record(new TraceEvent.ViewerArrived(now(), viewerName(), traits.serviceClass()));
+        player = new Player(traits, now(), context.day().viewers().returnMs());
+        renewToken();
         if (!waitsForHall()) {
-            ask();
+            requestSession();
         }
     }
 
-    /** True when its device has no network and tries again the moment that its hall is healed. */
+    /** Returns true when the hall is cut off and the viewer requests as soon as the hall is reconnected. */
     private boolean waitsForHall() {
-        return waits && stage.hallWatch().runWhenHealed(traits.hall(), () -> loop.execute(this::ask));
+        return waitsForReconnection
+                && context.healNotifier().runWhenHealed(traits.hall(), () -> loop.execute(this::requestSession));
     }
 
-    private String name() {
-        return stage.runId() + "-t" + arrival.number();
+    private String viewerName() {
+        return context.runId() + "-t" + arrival.number();
     }
 
-    private void newToken() {
+    private void renewToken() {
         if (tokenId != null) {
-            stage.receivedBytes().remove(tokenId);
+            context.receivedBytes().remove(tokenId);
         }
-        tokens++;
-        tokenId = name() + "." + tokens;
-        token = stage.issuer()
-                .issue(tokenId, "v" + arrival.number(), title, traits.serviceClass(), null, traits.topRung(), TOKEN_S);
-        received = stage.receivedBytes().counter(tokenId);
+        tokenCount++;
+        tokenId = viewerName() + "." + tokenCount;
+        token = context.issuer()
+                .issue(
+                        tokenId,
+                        "v" + arrival.number(),
+                        title,
+                        traits.serviceClass(),
+                        null,
+                        traits.topRung(),
+                        TOKEN_VALIDITY_S);
+        receivedBytes = context.receivedBytes().counter(tokenId);
     }
 
-    /** Goes on as its player says; {@code why} is what it goes with when it doesn't come again. */
-    private void follow(Action next, String why) {
-        if (next instanceof Action.Request again) {
-            if (again.newToken()) {
-                newToken();
+    /** Performs the next step of the player; {@code reason} is recorded when the viewer departs for good. */
+    private void perform(Action next, String reason) {
+        if (next instanceof Action.Request retry) {
+            if (retry.newToken()) {
+                renewToken();
             }
             stats.retries.increment();
             if (!waitsForHall()) {
-                after(again.afterMs(), this::ask);
+                schedule(retry.afterMs(), this::requestSession);
             }
         } else if (next instanceof Action.Fetch fetch) {
             if (fetch.afterMs() > 0) {
-                after(fetch.afterMs(), () -> fetch(fetch));
+                schedule(fetch.afterMs(), () -> fetchSegment(fetch));
             } else {
-                fetch(fetch);
+                fetchSegment(fetch);
             }
         } else if (next instanceof Action.End end) {
-            finish(end.lostPatience());
+            endSession(end.lostPatience());
         } else {
-            over(why);
+            depart(reason);
         }
     }
 
-    private void over(String why) {
-        stage.tap().record(new TraceEvent.ViewerDeparted(now(), name(), why));
+    private void depart(String reason) {
+        context.recorder().record(new TraceEvent.ViewerDeparted(now(), viewerName(), reason));
         stats.playedMs.add(Math.round(player.playedMs()));
         stats.stalledMs.add(Math.round(player.stalledMs()));
         stats.stalls.add(player.stalls());
-        stage.receivedBytes().remove(tokenId);
+        context.receivedBytes().remove(tokenId);
     }
 
-    // ---- asking
+    // ---- requesting a session
 
-    private void ask() {
+    private void requestSession() {
         player.onRequestSent();
         boolean first = player.requestCount() == 1;
-        front = stage.frontLocator().pick(traits.hall(), random.nextDouble());
+        front = context.frontLocator().pick(traits.hall(), random.nextDouble());
         connect(
                 opened -> {
                     connection = opened;
-                    waiting = true;
-                    // A moment more than the stated patience: an answer that comes late is still seen as late.
-                    patience = after(traits.patienceMs() + 200, this::noAnswer);
-                    ask = request(opened, true);
+                    awaitingAnswer = true;
+                    // 200 ms more than the patience, so that a late answer is recorded as late, not as missing.
+                    answerTimeout = schedule(traits.patienceMs() + 200, this::onAnswerTimeout);
+                    requestNumber = sendRequest(opened, true);
                     if (traits.leaveAfterMs() >= 0 && first) {
-                        after(traits.leaveAfterMs(), this::leave);
+                        schedule(traits.leaveAfterMs(), this::leaveBeforeAnswer);
                     }
                     if (traits.sendsTokenTwice() && first) {
                         connect(
                                 second -> {
-                                    if (waiting) {
-                                        request(second, false);
+                                    if (awaitingAnswer) {
+                                        sendRequest(second, false);
                                     } else {
                                         second.abort();
                                     }
@@ -160,65 +168,65 @@
                 },
                 () -> {
                     stats.connectionsLost.increment();
-                    follow(player.onConnectionLost(now(), true), "no front");
+                    perform(player.onConnectionLost(now(), true), "no front");
                 });
     }
 
-    private interface Opened {
-        void with(HttpClientConnection connection);
+    private interface ConnectionListener {
+        void onConnected(HttpClientConnection connection);
     }
 
-    private void connect(Opened opened, Runnable failed) {
-        int port = stage.frontLocator().port(front);
+    private void connect(ConnectionListener listener, Runnable onFailure) {
+        int port = context.frontLocator().port(front);
         if (port == 0) {
-            failed.run();
+            onFailure.run();
             return;
         }
         HttpClientConnection.open(
                 loop,
                 new InetSocketAddress("127.0.0.1", port),
-                CONNECT_MS,
+                CONNECT_TIMEOUT_MS,
                 HttpLimits.CLIENT,
-                opened::with,
-                cause -> failed.run());
+                listener::onConnected,
+                cause -> onFailure.run());
     }
 
-    /** Writes the request on a connection; the second of a doubled one only looks at its answer. */
-    private long request(HttpClientConnection on, boolean first) {
-        long number = ASKS.incrementAndGet();
-        stage.tap()
+    /** Sends the request on a connection. The answer to a duplicate (not {@code first}) is only recorded. */
+    private long sendRequest(HttpClientConnection target, boolean first) {
+        long number = REQUEST_NUMBERS.incrementAndGet();
+        context.recorder()
                 .record(new TraceEvent.Request(
                         now(), number, front, tokenId, traits.serviceClass(), title, traits.patienceMs()));
         stats.requests.increment();
-        // A second answer comes when nothing is asked any more: the checker must see that too.
-        on.onUnsolicitedData(() -> stage.tap().record(new TraceEvent.Answer(now(), number, 0, "unasked")));
-        double at = now();
-        ResponseReader[] link = new ResponseReader[1];
-        link[0] = new ResponseReader(
+        // A second answer arrives after the request has ended; it is recorded for the checker too.
+        target.onUnsolicitedData(() -> context.recorder().record(new TraceEvent.Answer(now(), number, 0, "unasked")));
+        double requestedAt = now();
+        ResponseReader[] reader = new ResponseReader[1];
+        reader[0] = new ResponseReader(
                 true,
-                () -> stage.tap()
+                () -> context.recorder()
                         .record(new TraceEvent.Answer(
-                                now(), number, link[0].head().status(), answerOf(link[0].head()))),
-                (head, all) -> {
+                                now(), number, reader[0].head().status(), answerOf(reader[0].head()))),
+                (head, response) -> {
                     if (first) {
-                        answered(head, all, at);
+                        onAnswer(head, response, requestedAt);
                     } else {
-                        second(on, number, head);
+                        onDuplicateAnswer(target, number, head);
                     }
                 });
-        if (!ResponseReader.get(on, "/dash/" + title + "/manifest.mpd?token=" + token, link[0])) {
-            link[0].onFailure(HttpClientConnection.Failure.CLOSED, "closed");
+        if (!ResponseReader.get(target, "/dash/" + title + "/manifest.mpd?token=" + token, reader[0])) {
+            reader[0].onFailure(HttpClientConnection.Failure.CLOSED, "closed");
         }
         return number;
     }
 
-    private void second(HttpClientConnection on, long number, ResponseHead head) {
+    private void onDuplicateAnswer(HttpClientConnection target, long number, ResponseHead head) {
         if (head == null) {
-            stage.tap().record(new TraceEvent.RequestAborted(now(), number, false));
+            context.recorder().record(new TraceEvent.RequestAborted(now(), number, false));
         } else {
             stats.count(answerOf(head));
         }
-        on.abort();
+        target.abort();
     }
 
     private static String answerOf(ResponseHead head) {
@@ -226,39 +234,39 @@
         return answer == null ? "none" : answer;
     }
 
-    private void noAnswer() {
-        if (waiting) {
-            waiting = false;
-            stage.tap().record(new TraceEvent.RequestTimedOut(now(), ask));
+    private void onAnswerTimeout() {
+        if (awaitingAnswer) {
+            awaitingAnswer = false;
+            context.recorder().record(new TraceEvent.RequestTimedOut(now(), requestNumber));
             connection.abort();
-            over("no answer");
+            depart("no answer");
         }
     }
 
-    private void leave() {
-        if (waiting) {
-            waiting = false;
-            patience.cancel(false);
-            stage.tap().record(new TraceEvent.RequestAborted(now(), ask, true));
+    private void leaveBeforeAnswer() {
+        if (awaitingAnswer) {
+            awaitingAnswer = false;
+            answerTimeout.cancel(false);
+            context.recorder().record(new TraceEvent.RequestAborted(now(), requestNumber, true));
             connection.abort();
-            over("left");
+            depart("left");
         }
     }
 
-    private void answered(ResponseHead head, ResponseReader link, double at) {
-        if (!waiting) {
+    private void onAnswer(ResponseHead head, ResponseReader reader, double requestedAt) {
+        if (!awaitingAnswer) {
             return;
         }
-        waiting = false;
-        patience.cancel(false);
+        awaitingAnswer = false;
+        answerTimeout.cancel(false);
         if (head == null) {
-            stage.tap().record(new TraceEvent.RequestAborted(now(), ask, false));
+            context.recorder().record(new TraceEvent.RequestAborted(now(), requestNumber, false));
             stats.connectionsLost.increment();
-            // Whether something was spent isn't known: who has paid asks the issuer, not the next front.
-            follow(
+            // Whether the token was spent is unknown, so a viewer with a paid token does not retry at another front.
+            perform(
                     player.onConnectionLost(
                             now(),
-                            !stage.day().classes().get(traits.serviceClass()).once()),
+                            !context.day().classes().get(traits.serviceClass()).once()),
                     "front lost");
             return;
         }
@@ -266,19 +274,19 @@
         stats.count(answer);
         switch (answer) {
             case "plays" -> {
-                stats.setUpMicros.recordValue((long) Math.max(1, (now() - at) * 1000));
-                play(link.text());
+                stats.setUpMicros.recordValue((long) Math.max(1, (now() - requestedAt) * 1000));
+                startPlaying(reader.text());
                 if (traits.replaysToken()) {
-                    connect(second -> request(second, false), () -> {});
+                    connect(second -> sendRequest(second, false), () -> {});
                 }
             }
             case "refused" -> {
                 connection.abort();
-                follow(player.onRefused(now(), retryAfterMs(head)), "refused");
+                perform(player.onRefused(now(), retryAfterMs(head)), "refused");
             }
             default -> {
                 connection.abort();
-                over(answer.equals("failed") ? "failed" : "not taken");
+                depart(answer.equals("failed") ? "failed" : "not taken");
             }
         }
     }
@@ -290,116 +298,119 @@
 
     // ---- playing
 
-    private void play(String text) {
+    private void startPlaying(String mpdText) {
         try {
-            mpd = MpdParser.parse(text);
-            List<MpdValidator.Finding> findings = MpdValidator.check(text);
+            mpd = MpdParser.parse(mpdText);
+            List<MpdValidator.Finding> findings = MpdValidator.check(mpdText);
             if (!findings.isEmpty()) {
-                throw new IllegalStateException("a front's MPD is not as the standard has it: " + findings);
+                throw new IllegalStateException("MPD of a front violates the DASH standard: " + findings);
             }
         } catch (InvalidMpdException fault) {
-            throw new IllegalStateException("a front's MPD is malformed: " + fault.getMessage());
+            throw new IllegalStateException("MPD of a front is malformed: " + fault.getMessage());
         }
         long audio =
                 mpd.audio() == null ? 0 : mpd.audio().representations().get(0).bandwidth();
         List<Long> ladder = mpd.videoRepresentations().stream()
-                .map(each -> each.bandwidth() + audio)
+                .map(representation -> representation.bandwidth() + audio)
                 .toList();
         Action first = player.onPlaying(now(), ladder, mpd.nominalSegmentMs(), mpd.segmentCount());
         if (!ResponseReader.get(
-                connection, mpd.baseUrl() + "v/init.mp4", new ResponseReader(false, () -> {}, (head, link) -> {
+                connection, mpd.baseUrl() + "v/init.mp4", new ResponseReader(false, () -> {}, (head, reader) -> {
                     if (head != null && head.status() == 200) {
-                        follow(first, "watched");
+                        perform(first, "watched");
                     } else {
-                        broken(head);
+                        onSessionLost(head);
                     }
                 }))) {
-            broken(null);
+            onSessionLost(null);
         }
     }
 
-    private void fetch(Action.Fetch fetch) {
+    private void fetchSegment(Action.Fetch fetch) {
         player.onFetchStarted(now());
         Mpd.Representation rung = mpd.videoRepresentations().get(fetch.rung());
-        ResponseReader link = new ResponseReader(false, () -> {}, (head, all) -> video(head, all, fetch.number()));
-        link.countBytesIn(received);
-        fetching = true;
-        if (!ResponseReader.get(connection, mpd.baseUrl() + mpd.video().segmentPath(rung, fetch.number()), link)) {
-            fetching = false;
-            broken(null);
+        ResponseReader reader =
+                new ResponseReader(false, () -> {}, (head, response) -> onVideoSegment(head, response, fetch.number()));
+        reader.countBytesIn(receivedBytes);
+        awaitingSegment = true;
+        if (!ResponseReader.get(connection, mpd.baseUrl() + mpd.video().segmentPath(rung, fetch.number()), reader)) {
+            awaitingSegment = false;
+            onSessionLost(null);
             return;
         }
         if (traits.neverReads()) {
             connection.setAutoRead(false);
             return;
         }
-        look(link);
+        schedulePatienceCheck(reader);
     }
 
-    /** Looks from time to time whether the viewer still has patience with the segment under way. */
-    private void look(ResponseReader link) {
-        after(LOOK_MS, () -> {
-            if (!fetching || link.isDone()) {
+    /** Checks at intervals whether the viewer still waits for the segment in progress. */
+    private void schedulePatienceCheck(ResponseReader reader) {
+        schedule(PATIENCE_CHECK_MS, () -> {
+            if (!awaitingSegment || reader.isDone()) {
                 return;
             }
             Action next = player.checkPatience(now());
             if (next == null) {
-                look(link);
+                schedulePatienceCheck(reader);
             } else {
-                link.ignore();
-                fetching = false;
+                reader.ignore();
+                awaitingSegment = false;
                 connection.abort();
                 stats.sessionsAbandoned.increment();
-                tooSlow();
+                abandonSession();
             }
         });
     }
 
-    /** A segment of video came, or was lost; its audio comes next where there is any. */
-    private void video(ResponseHead head, ResponseReader link, int number) {
+    /** Handles the end of a video segment: requests its audio segment when the MPD has audio. */
+    private void onVideoSegment(ResponseHead head, ResponseReader reader, int number) {
         Mpd.AdaptationSet audio = mpd.audio();
         if (head == null || head.status() != 200 || audio == null) {
-            segment(head, link.bytes(), number);
+            onSegment(head, reader.bytes(), number);
             return;
         }
-        ResponseReader next = new ResponseReader(
+        ResponseReader audioReader = new ResponseReader(
                 false,
                 () -> {},
-                (other, all) -> segment(
-                        other == null || other.status() != 200 ? other : head, link.bytes() + all.bytes(), number));
-        next.countBytesIn(received);
+                (audioHead, audioResponse) -> onSegment(
+                        audioHead == null || audioHead.status() != 200 ? audioHead : head,
+                        reader.bytes() + audioResponse.bytes(),
+                        number));
+        audioReader.countBytesIn(receivedBytes);
         String path = mpd.baseUrl() + audio.segmentPath(audio.representations().get(0), number);
-        if (ResponseReader.get(connection, path, next)) {
-            look(next);
+        if (ResponseReader.get(connection, path, audioReader)) {
+            schedulePatienceCheck(audioReader);
         } else {
-            fetching = false;
-            broken(null);
+            awaitingSegment = false;
+            onSessionLost(null);
         }
     }
 
-    private void segment(ResponseHead head, long bytes, int number) {
-        fetching = false;
+    private void onSegment(ResponseHead head, long bytes, int number) {
+        awaitingSegment = false;
         if (head == null || head.status() != 200) {
-            broken(head);
+            onSessionLost(head);
             return;
         }
         String rung = head.headers().get("spanrill-rung");
         int served = rung != null && rung.matches("\\d{1,3}") ? Integer.parseInt(rung) : -1;
         double now = now();
-        stage.tap().record(new TraceEvent.SegmentReceived(now, tokenId, front, served, bytes, 0));
+        context.recorder().record(new TraceEvent.SegmentReceived(now, tokenId, front, served, bytes, 0));
         stats.segments.increment();
         stats.mediaBytes.add(bytes);
         stats.rungSum.add(Math.max(0, served));
-        // Bytes are scaled, bandwidths in the MPD are not.
-        follow(
+        // Bytes are scaled by the day, bandwidths in the MPD are not.
+        perform(
                 player.onSegmentReceived(
                         now,
-                        bytes * 8 / stage.day().byteScale(),
+                        bytes * 8 / context.day().byteScale(),
                         mpd.video().timeline().segmentLengthMs(number)),
                 "watched");
     }
 
-    private void finish(boolean lostPatience) {
+    private void endSession(boolean lostPatience) {
         (lostPatience ? stats.sessionsAbandoned : stats.sessionsFinished).increment();
         String target = mpd.baseUrl().substring(0, mpd.baseUrl().length() - 1);
         if (!connection.send(
@@ -407,25 +418,25 @@
                 target,
                 Headers.of("host", "front"),
                 new byte[0],
-                new ResponseReader(false, () -> {}, (head, link) -> connection.abort()))) {
+                new ResponseReader(false, () -> {}, (head, reader) -> connection.abort()))) {
             connection.abort();
         }
         if (lostPatience) {
-            tooSlow();
+            abandonSession();
         } else {
-            over("watched");
+            depart("watched");
         }
     }
 
-    private void tooSlow() {
-        stage.tap().record(new TraceEvent.SessionBroken(now(), tokenId, front, -1, null));
-        newToken();
-        follow(player.onGaveUp(now()), "too slow");
+    private void abandonSession() {
+        context.recorder().record(new TraceEvent.SessionBroken(now(), tokenId, front, -1, null));
+        renewToken();
+        perform(player.onGaveUp(now()), "too slow");
     }
 
-    /** The session ended before its time; the head tells it, or is null when the connection was lost. */
-    private void broken(ResponseHead head) {
-        stage.tap()
+    /** Handles the loss of the session; the head is null when the connection was lost. */
+    private void onSessionLost(ResponseHead head) {
+        context.recorder()
                 .record(new TraceEvent.SessionBroken(
                         now(),
                         tokenId,
@@ -433,6 +444,6 @@
                         head == null ? 0 : head.status(),
                         head == null ? null : head.headers().get("spanrill-over")));
         connection.abort();
-        follow(player.onConnectionLost(now(), true), "broken");
+        perform(player.onConnectionLost(now(), true), "broken");
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/ViewerContext.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ViewerContext.java
@@ -7,16 +7,17 @@
 import spanrill.standin.token.Issuer;
 
 /**
- * What all viewers of a day share.
+ * Settings and services that all viewers of a day share.
  *
- * @param runId begins every token's id: fronts whose folders are kept remember the paid tokens of earlier runs
+ * @param runId prefix of all token ids, unique per run: fronts that keep their folder remember the paid tokens of
+ *     earlier runs
  */
 public record ViewerContext(
         Day day,
         FrontLocator frontLocator,
         Issuer issuer,
-        EventRecorder tap,
+        EventRecorder recorder,
         ReceivedBytes receivedBytes,
         ViewerStats stats,
-        HallHealNotifier hallWatch,
+        HallHealNotifier healNotifier,
         String runId) {}
--- a/standin/src/main/java/spanrill/standin/viewer/ViewerLoadGenerator.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ViewerLoadGenerator.java
@@ -7,39 +7,39 @@
 import spanrill.day.Arrival;
 
 /**
- * All viewers of a day. They come at the times of the plan whatever becomes of those before (open loop), and
- * how late they were sent is measured.
+ * Generates the viewers of a day. They arrive at the planned times regardless of how earlier viewers fare (open
+ * loop); the delay of each arrival after its planned time is recorded.
  */
 public final class ViewerLoadGenerator {
-    private final ViewerContext stage;
+    private final ViewerContext context;
     private final List<Arrival> arrivals;
     private final EventLoopGroup loops;
 
-    /** A crowd that comes when {@link #start} is called. */
-    public ViewerLoadGenerator(ViewerContext stage, List<Arrival> arrivals, EventLoopGroup loops) {
-        this.stage = stage;
+    /** Creates a generator; {@link #start} schedules the arrivals. */
+    public ViewerLoadGenerator(ViewerContext context, List<Arrival> arrivals, EventLoopGroup loops) {
+        this.context = context;
         this.arrivals = arrivals;
         this.loops = loops;
     }
 
-    /** The day begins now. */
+    /** Schedules all arrivals; the day begins now. */
     public void start() {
-        double begin = stage.tap().nowMs();
+        double startedAt = context.recorder().nowMs();
         for (Arrival arrival : arrivals) {
             EventLoop loop = loops.next();
             loop.schedule(
                     () -> {
-                        double late = stage.tap().nowMs() - begin - arrival.atMs();
-                        stage.stats().arrivalDelayMicros.recordValue((long) Math.max(0, late * 1000));
-                        new Viewer(stage, arrival, loop).arrive();
+                        double delayMs = context.recorder().nowMs() - startedAt - arrival.atMs();
+                        context.stats().arrivalDelayMicros.recordValue((long) Math.max(0, delayMs * 1000));
+                        new Viewer(context, arrival, loop).arrive();
                     },
                     (long) (arrival.atMs() * 1000),
                     TimeUnit.MICROSECONDS);
         }
     }
 
-    /** What it met with so far. */
+    /** Returns the statistics of all viewers so far. */
     public ViewerStats stats() {
-        return stage.stats();
+        return context.stats();
     }
 }
--- a/standin/src/main/java/spanrill/standin/viewer/ViewerStats.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ViewerStats.java
@@ -4,48 +4,48 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** What a crowd met with. Safe from any thread. */
+/** Statistics of all viewers of a day. Thread-safe. */
 public final class ViewerStats {
-    /** Requests written. */
+    /** Requests for a session that were sent. */
     public final LongAdder requests = new LongAdder();
-    /** Answered: plays. */
+    /** Requests answered with "plays". */
     public final LongAdder plays = new LongAdder();
-    /** Answered: refused. */
+    /** Requests answered with "refused". */
     public final LongAdder refused = new LongAdder();
-    /** Answered: failed. */
+    /** Requests answered with "failed". */
     public final LongAdder failed = new LongAdder();
-    /** Connections that could not be had, or were lost. */
+    /** Connections that could not be opened or were lost before the answer. */
     public final LongAdder connectionsLost = new LongAdder();
-    /** Sessions played to their end. */
+    /** Sessions that played to their end. */
     public final LongAdder sessionsFinished = new LongAdder();
-    /** Left for want of rate. */
+    /** Sessions that the viewer abandoned because the rate was too low. */
     public final LongAdder sessionsAbandoned = new LongAdder();
-    /** Came again after a refusal or a break. */
+    /** Requests repeated after a refusal or the loss of a session. */
     public final LongAdder retries = new LongAdder();
-    /** Stalls. */
+    /** Stalls of all players. */
     public final LongAdder stalls = new LongAdder();
-    /** Segments read. */
+    /** Video segments read. */
     public final LongAdder segments = new LongAdder();
-    /** Bytes of media read. */
+    /** Bytes of the segments read. */
     public final LongAdder mediaBytes = new LongAdder();
-    /** Milliseconds played. */
+    /** Time played, ms. */
     public final LongAdder playedMs = new LongAdder();
-    /** Milliseconds stalled. */
+    /** Time stalled, ms. */
     public final LongAdder stalledMs = new LongAdder();
-    /** Sum of rungs over segments. */
+    /** Sum of the rungs of all segments read. */
     public final LongAdder rungSum = new LongAdder();
-    /** Time from request to "plays", microseconds. */
+    /** Time from the request to the answer "plays", microseconds. */
     public final Histogram setUpMicros = new ConcurrentHistogram(60_000_000, 3);
-    /** How late arrivals were sent, microseconds. */
+    /** Delay of arrivals after their planned time, microseconds. */
     public final Histogram arrivalDelayMicros = new ConcurrentHistogram(60_000_000, 3);
 
-    /** Counts an answer. */
+    /** Counts an answer by its word in the header field spanrill-answer. */
     void count(String answer) {
         switch (answer) {
             case "plays" -> plays.increment();
             case "refused" -> refused.increment();
             case "failed" -> failed.increment();
-            // Never taken: the records tell.
+            // Other answers are found in the recorded events.
             default -> {}
         }
     }
--- a/standin/src/main/java/spanrill/standin/viewer/package-info.java
+++ b/standin/src/main/java/spanrill/standin/viewer/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in viewers: real HTTP clients that ask by token, play by the MPD, leave, come again. */
+/** Stand-in viewers: HTTP clients that request sessions with tokens, play by the MPD, leave and retry. */
 package spanrill.standin.viewer;
--- a/standin/src/test/java/spanrill/standin/FaultyFront.java
+++ b/standin/src/test/java/spanrill/standin/FaultyFront.java
@@ -26,8 +26,8 @@
 import spanrill.wire.http.ResponseHead;
 
 /**
- * A driver of real boxes on sockets that does whatever a front must not, so that the checker is seen to
- * catch it.
+ * Drives stand-in boxes over real connections the way a front does, and may violate the rules of a front, so that
+ * tests can verify that the checker detects it.
  */
 final class FaultyFront implements AutoCloseable {
     static final Day DAY = new Day(
@@ -54,12 +54,12 @@
             new Day.Registry(List.of(0.0, 0.0), List.of(0.0, 0.0)),
             List.of());
 
-    final EventRecorder tap = new EventRecorder(null);
-    final ReceivedBytes receipts = new ReceivedBytes();
+    final EventRecorder recorder = new EventRecorder(null);
+    final ReceivedBytes receivedBytes = new ReceivedBytes();
     final BoxFleet fleet;
     final EventLoop loop;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private long asks;
+    private long requestCount;
 
     FaultyFront() throws Exception {
         this(null);
@@ -67,7 +67,7 @@
 
     FaultyFront(ParquetRows<SecondRow> rows) throws Exception {
         loop = group.next();
-        tap.record(new TraceEvent.RunParameters(
+        recorder.record(new TraceEvent.RunParameters(
                 0,
                 Map.of(
                         "free",
@@ -83,22 +83,23 @@
                 1.0,
                 0.0,
                 10_000.0));
-        fleet = new BoxFleet(DAY, 1, loop, tap, receipts, rows);
+        fleet = new BoxFleet(DAY, 1, loop, recorder, receivedBytes, rows);
         fleet.open();
     }
 
-    /** A viewer asks, as far as the records go. */
-    long ask(String token, String cls) {
-        tap.record(new TraceEvent.Request(tap.nowMs(), ++asks, 0, token, cls, "title", 1000));
-        return asks;
+    /** Records a viewer's request for a session and returns the number of the request. */
+    long recordRequest(String token, String serviceClass) {
+        recorder.record(
+                new TraceEvent.Request(recorder.nowMs(), ++requestCount, 0, token, serviceClass, "title", 1000));
+        return requestCount;
     }
 
-    void answer(long ask, String answer) {
-        tap.record(new TraceEvent.Answer(tap.nowMs(), ask, 200, answer));
+    void recordAnswer(long requestNumber, String answer) {
+        recorder.record(new TraceEvent.Answer(recorder.nowMs(), requestNumber, 200, answer));
     }
 
-    /** A set-up over a socket; gives its status, or 0 when the connection was lost. */
-    int setUp(int box, String token, int attempt, String cls, int rung) throws Exception {
+    /** Sends a set-up to a box; returns the status of the response, or 0 when the connection was lost. */
+    int setUp(int box, String token, int attempt, String serviceClass, int rung) throws Exception {
         Headers headers = Headers.of(
                 "host",
                 "box",
@@ -111,22 +112,22 @@
                 BoxLink.TOKEN,
                 token,
                 BoxLink.CLASS,
-                cls,
+                serviceClass,
                 BoxLink.TITLE,
                 "title",
                 BoxLink.RUNG,
                 Integer.toString(rung),
                 BoxLink.SPENDS,
-                cls.equals("paid") ? "1" : "0");
+                serviceClass.equals("paid") ? "1" : "0");
         return call(box, "POST", BoxLink.SETUP_PATH, headers);
     }
 
     int call(int box, String method, String target, Headers headers) throws Exception {
-        CompletableFuture<Integer> done = new CompletableFuture<>();
-        StandinBox to = fleet.boxes().get(box);
+        CompletableFuture<Integer> statusFuture = new CompletableFuture<>();
+        StandinBox destination = fleet.boxes().get(box);
         HttpClientConnection.open(
                 loop,
-                new InetSocketAddress("127.0.0.1", to.port()),
+                new InetSocketAddress("127.0.0.1", destination.port()),
                 1000,
                 HttpLimits.CLIENT,
                 connection ->
@@ -144,27 +145,27 @@
                             @Override
                             public void onEnd() {
                                 connection.abort();
-                                done.complete(status);
+                                statusFuture.complete(status);
                             }
 
                             @Override
                             public void onFailure(HttpClientConnection.Failure loss, String reason) {
-                                done.complete(0);
+                                statusFuture.complete(0);
                             }
                         }),
-                cause -> done.complete(0));
-        return done.get(5, TimeUnit.SECONDS);
+                cause -> statusFuture.complete(0));
+        return statusFuture.get(5, TimeUnit.SECONDS);
     }
 
-    void on(Runnable action) throws Exception {
+    void runOnLoop(Runnable action) throws Exception {
         loop.submit(action).get(5, TimeUnit.SECONDS);
     }
 
-    /** The rules that the checker finds broken. */
-    List<Integer> broken() {
-        tap.record(new TraceEvent.BoxStopped(tap.nowMs() + 10_000, "nowhere", "end"));
-        return RuleChecker.evaluate(tap.events()).stream()
-                .filter(v -> !v.passed())
+    /** Returns the numbers of the rules that the checker finds violated. */
+    List<Integer> violatedRules() {
+        recorder.record(new TraceEvent.BoxStopped(recorder.nowMs() + 10_000, "nowhere", "end"));
+        return RuleChecker.evaluate(recorder.events()).stream()
+                .filter(verdict -> !verdict.passed())
                 .map(Verdict::rule)
                 .toList();
     }
@@ -172,6 +173,6 @@
     @Override
     public void close() throws java.io.IOException {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5, TimeUnit.SECONDS);
-        tap.close();
+        recorder.close();
     }
 }
--- a/standin/src/test/java/spanrill/standin/SharedLinkTest.java
+++ b/standin/src/test/java/spanrill/standin/SharedLinkTest.java
@@ -21,24 +21,24 @@
 import spanrill.wire.http.HttpLimits;
 import spanrill.wire.http.ResponseHead;
 
-/** Real bytes on sockets, shaped by the model's shares. */
+/** Guards against boxes that send sessions more or fewer bytes than their share of a congested link. */
 @Timeout(60)
 class SharedLinkTest {
     private static final int SESSIONS = 40;
 
-    /** Reads one segment after the other. */
+    /** Requests the segments of a session one after the other. */
     private static final class Reader implements HttpClientConnection.Listener {
         private final String key;
-        private final LongAdder bytes;
+        private final LongAdder receivedBytes;
         private HttpClientConnection connection;
         private int number;
 
-        Reader(String key, LongAdder bytes) {
+        Reader(String key, LongAdder receivedBytes) {
             this.key = key;
-            this.bytes = bytes;
+            this.receivedBytes = receivedBytes;
         }
 
-        void next() {
+        void requestNext() {
             number++;
             connection.send(
                     "GET",
@@ -53,12 +53,12 @@
 
         @Override
         public void onData(ByteBuf part) {
-            bytes.add(part.readableBytes());
+            receivedBytes.add(part.readableBytes());
         }
 
         @Override
         public void onEnd() {
-            next();
+            requestNext();
         }
 
         @Override
@@ -66,14 +66,14 @@
     }
 
     @Test
-    void fortySessionsShareALinkThatDropsToAQuarterAndAnUplinkThatIsShort(@TempDir Path folder) throws Exception {
-        Path file = folder.resolve("seconds.parquet");
-        try (ParquetRows<SecondRow> rows = new ParquetRows<>(file, SecondRow.class);
+    void sessionsGetEqualSharesWhenLinkOrUplinkIsCongested(@TempDir Path folder) throws Exception {
+        Path rowsFile = folder.resolve("seconds.parquet");
+        try (ParquetRows<SecondRow> rows = new ParquetRows<>(rowsFile, SecondRow.class);
                 FaultyFront front = new FaultyFront(rows)) {
             for (int i = 0; i < SESSIONS; i++) {
                 int box = i % 2;
                 assertEquals(200, front.setUp(box, "t" + i, 1, "free", 2));
-                Reader reader = new Reader("t" + i + ".1", front.receipts.counter("t" + i));
+                Reader reader = new Reader("t" + i + ".1", front.receivedBytes.counter("t" + i));
                 HttpClientConnection.open(
                         front.loop,
                         new InetSocketAddress(
@@ -82,26 +82,27 @@
                         HttpLimits.CLIENT,
                         opened -> {
                             reader.connection = opened;
-                            reader.next();
+                            reader.requestNext();
                         },
                         cause -> {});
             }
-            // 20 x 6 kB/s on each box of 500: a link of a sixth is short; then the uplink alone.
-            front.on(() -> front.fleet.setLinkShare(0, 0.1));
-            seconds(front, 4);
-            front.on(() -> {
+            // 20 sessions of 6 kB/s on each link of 500 kB/s: first the link of box 0 is too small, then only the
+            // uplink.
+            front.runOnLoop(() -> front.fleet.setLinkShare(0, 0.1));
+            waitSeconds(front, 4);
+            front.runOnLoop(() -> {
                 front.fleet.setLinkShare(0, 1);
                 front.fleet.setUplinkShare(0, 0.08);
             });
-            seconds(front, 4);
+            waitSeconds(front, 4);
         }
-        List<SecondRow> rows = ParquetRows.read(file, SecondRow.class);
+        List<SecondRow> rows = ParquetRows.read(rowsFile, SecondRow.class);
         ShareCheck.Result result = ShareCheck.check(rows);
         assertTrue(result.passed(), result.toString());
         assertTrue(result.receivedVsRule().count() > 100, result.toString());
     }
 
-    private static void seconds(FaultyFront front, int seconds) throws Exception {
+    private static void waitSeconds(FaultyFront front, int seconds) throws Exception {
         front.loop.schedule(() -> {}, seconds, TimeUnit.SECONDS).get(seconds + 5, TimeUnit.SECONDS);
     }
 }
