--- a/core/src/main/java/spanrill/Control.java
+++ b/core/src/main/java/spanrill/Control.java
@@ -268,7 +268,7 @@
             if (!Double.isNaN(serverStartedAt) && serverStartedAt != previousStartedAt) {
                 holder.coldUntil = Math.max(
                         holder.coldUntil, serverStartedAt + settings.rules().coldMs());
-                holder.coldPacingFrom = now + random.nextDouble() * coldWindowMs(holder);
+                holder.coldPacingFrom = now + random.nextDouble() * coldBudgetWindowMs(holder);
                 // A restarted process keeps neither the load nor the failures of the one before.
                 holder.failures = 0;
                 holder.avoidUntil = NEVER;
@@ -305,7 +305,7 @@
         boolean equalWeights =
                 listed.stream().mapToDouble(Control::weight).distinct().count() <= 1;
         double meanPlaces = listed.stream()
-                .mapToDouble(holder -> placesOf(holder.server.kind()))
+                .mapToDouble(holder -> maxStreams(holder.server.kind()))
                 .average()
                 .orElse(1);
         Arrays.stream(racks).forEach(rack -> rack.linkKbPerS = 0);
@@ -313,7 +313,7 @@
         for (Holder holder : listed) {
             cells.computeIfAbsent(holder.server.cell(), cell -> new ArrayList<>())
                     .add(holder);
-            holder.places = placesOf(holder.server.kind());
+            holder.places = maxStreams(holder.server.kind());
             // Where all listed weights are equal, the places of its kind give a server's size.
             double size = weight(holder) * (equalWeights ? holder.places / meanPlaces : 1);
             holder.link.capacity = Math.max(1, size * settings.weightKb());
@@ -330,9 +330,10 @@
         return Double.isFinite(weight) && weight > 0 ? weight : 1;
     }
 
-    private double placesOf(String kind) {
+    /** Maximum number of concurrent streams of a server of a kind; for an unknown kind, the minimum over all kinds. */
+    private double maxStreams(String serverKind) {
         return settings.kinds().stream()
-                .filter(candidate -> candidate.name().equals(kind))
+                .filter(kind -> kind.name().equals(serverKind))
                 .mapToDouble(Kind::places)
                 .findFirst()
                 .orElse(settings.kinds().stream()
@@ -523,13 +524,13 @@
     }
 
     @Override
-    public void timer(double now, String token) {
-        if (token.equals("sweep")) {
+    public void timer(double now, String timerKey) {
+        if (timerKey.equals("sweep")) {
             actions.timer("sweep", SWEEP_INTERVAL_MS);
             sweep(now);
             return;
         }
-        Session session = sessions.get(token);
+        Session session = sessions.get(timerKey);
         if (session != null && session.waiting) {
             session.waiting = false;
             placeSession(now, session);
@@ -723,6 +724,7 @@
         session.playing = false;
     }
 
+    /** Adds a change of load, kB a second, to the estimates of a server's link and of its rack's uplink. */
     private static void addLoad(double now, Holder holder, double ownChange, double totalChange) {
         holder.link.addChange(now, ownChange, totalChange);
         holder.rack.uplink.addChange(now, ownChange, totalChange);
@@ -829,7 +831,9 @@
         if (probability <= 0 && (up || session.rung == lowestRung)) {
             return;
         }
-        // The session gets the lower rung or, by the draw, the one above. For the sum over all fronts the mean counts.
+        // A random draw gives the session the lower rung or the one above. All fronts draw independently, so the
+        // estimate of the total load changes by the expected value of the draw, and this front's own load by the
+        // actual result.
         double stepKbPerS = probability <= 0 ? 0 : kbPerS(session.type, rung + 1) - kbPerS(session.type, rung);
         double expectedChange = kbPerS(session.type, rung) + probability * stepKbPerS - session.kbPerS;
         int chosenRung = probability > 0 && random.nextDouble() < probability ? rung + 1 : rung;
@@ -880,7 +884,10 @@
         recentMoves.values().removeIf(move -> now - move.movedAt > MIN_MOVE_INTERVAL_MS);
     }
 
-    /** Updates the averaged shortfall of a holder. A server that is silent, draining or gone delivers nothing. */
+    /**
+     * Updates the average of the share of its sessions' rates that a server fails to deliver. A server that is silent,
+     * draining or gone counts as delivering nothing.
+     */
     private void updateShortfall(double now, Holder holder) {
         if (isSilent(now, holder)) {
             recordFailure(now, holder);
@@ -999,7 +1006,7 @@
         if (now >= holder.coldUntil && holder.failures == 0) {
             return 0;
         }
-        double windowMs = coldWindowMs(holder);
+        double windowMs = coldBudgetWindowMs(holder);
         removeUntil(holder.coldSendTimes, now - windowMs);
         if (holder.coldSendTimes.size() < Math.max(1, (int) coldSetUpsPerWindow(holder))) {
             return Math.max(0, holder.coldPacingFrom - now);
@@ -1013,13 +1020,14 @@
         return COLD_BUDGET_SHARE
                 * rules.fallMultiple()
                 * rules.coldShare()
-                * placesOf(holder.server.kind())
+                * maxStreams(holder.server.kind())
                 / rules.coldMs()
                 * rules.fallMs()
                 / Math.max(1, settings.fronts());
     }
 
-    private double coldWindowMs(Holder holder) {
+    /** Time in which this front may send a cold server its part of the set-ups, or one where the part is less, ms. */
+    private double coldBudgetWindowMs(Holder holder) {
         return settings.rules().fallMs() / Math.min(1, coldSetUpsPerWindow(holder));
     }
 }
--- a/core/src/main/java/spanrill/SessionControl.java
+++ b/core/src/main/java/spanrill/SessionControl.java
@@ -243,8 +243,8 @@
         /** Final answer: failed. An attempt may have taken effect. */
         void fail(String request);
 
-        /** Requests a call of {@link SessionControl#timer} with this token after a delay. */
-        void timer(String token, double delayMs);
+        /** Starts a timer: {@link SessionControl#timer} is called with the key of the timer after the delay. */
+        void timer(String timerKey, double delayMs);
 
         /** Writes a line to the operators' log. */
         void log(String text);
@@ -253,7 +253,12 @@
     /** The front has started. Called once, before any other event. */
     void start(double now);
 
-    /** A server list was received. A server that is missing from a complete list is gone. */
+    /**
+     * A server list was received, or the call for one failed. A server that is missing from a complete list is gone.
+     *
+     * @param kind whether the list is complete, holds only the changes, was stored by this front, or is missing
+     * @param servers the listed servers
+     */
     void servers(double now, ListKind kind, List<Server> servers);
 
     /** A request was received. It gets exactly one final answer: playing, refused or failed. */
@@ -279,6 +284,6 @@
     /** The viewer has left, or the front answered an overdue request itself: no answer is pending any more. */
     void gone(double now, String request);
 
-    /** A timer has expired. */
-    void timer(double now, String token);
+    /** The timer that {@link Actions#timer} started under this key has expired. */
+    void timer(double now, String timerKey);
 }
--- a/decisions/src/main/java/spanrill/decisions/BoxProcessMonitor.java
+++ b/decisions/src/main/java/spanrill/decisions/BoxProcessMonitor.java
@@ -17,7 +17,7 @@
     public record Reaction(SessionEnd lostReason, double reopenDelayMs) {}
 
     private final Backoff backoff;
-    private double processId = Double.NaN;
+    private double lastProcessId = Double.NaN;
     private boolean receivedData;
 
     /** Creates a monitor that retries after {@code minMs} to {@code maxMs}, with jitter from the seed. */
@@ -28,12 +28,13 @@
     /**
      * Handles the greeting at the start of a stream.
      *
-     * @param id identifies the process of the box
+     * @param processId value of the greeting, which is different for each process of the box
      * @return why the earlier sessions of the box are lost, or null when the process is the same
      */
-    public SessionEnd onHello(double id) {
-        SessionEnd lostReason = !Double.isNaN(processId) && processId != id ? SessionEnd.BOX_RESTARTED : null;
-        processId = id;
+    public SessionEnd onHello(double processId) {
+        SessionEnd lostReason =
+                !Double.isNaN(lastProcessId) && lastProcessId != processId ? SessionEnd.BOX_RESTARTED : null;
+        lastProcessId = processId;
         return lostReason;
     }
 
--- a/decisions/src/main/java/spanrill/decisions/ClientConnectionState.java
+++ b/decisions/src/main/java/spanrill/decisions/ClientConnectionState.java
@@ -92,14 +92,14 @@
     public RequestHandling requestHandling() {
         return switch (phase) {
             case OPEN -> RequestHandling.SERVE;
-            case DRAINING -> reason.readable() ? RequestHandling.REFUSE : RequestHandling.DISCARD;
+            case DRAINING -> reason.keepsReadingMessages() ? RequestHandling.REFUSE : RequestHandling.DISCARD;
             case CLOSING, CLOSED -> RequestHandling.DISCARD;
         };
     }
 
     /** True while input can be read as messages. */
     public boolean readable() {
-        return phase != Phase.CLOSED && (reason == null || reason.readable());
+        return phase != Phase.CLOSED && (reason == null || reason.keepsReadingMessages());
     }
 
     /** True while answers may be written. */
--- a/decisions/src/main/java/spanrill/decisions/CloseReason.java
+++ b/decisions/src/main/java/spanrill/decisions/CloseReason.java
@@ -27,11 +27,11 @@
     private static final double HOSTILE_MS = 1500;
 
     private final double drainMs;
-    private final boolean readable;
+    private final boolean keepsReadingMessages;
 
-    CloseReason(double drainMs, boolean readable) {
+    CloseReason(double drainMs, boolean keepsReadingMessages) {
         this.drainMs = drainMs;
-        this.readable = readable;
+        this.keepsReadingMessages = keepsReadingMessages;
     }
 
     /** Time after which open requests are failed, ms; 0 when the caller defines it or no request is open. */
@@ -39,8 +39,8 @@
         return drainMs;
     }
 
-    /** True when messages that arrive during the drain can be read. */
-    boolean readable() {
-        return readable;
+    /** True when messages that arrive on the connection while it drains are still read. */
+    boolean keepsReadingMessages() {
+        return keepsReadingMessages;
     }
 }
--- a/decisions/src/main/java/spanrill/decisions/SessionEnd.java
+++ b/decisions/src/main/java/spanrill/decisions/SessionEnd.java
@@ -27,7 +27,7 @@
     /** The box does not know the session. */
     BOX_FORGOT(RetryAdvice.GONE);
 
-    /** Advice for a player that requests more segments. */
+    /** Whether a player that requests more segments of the ended session is told to request a new session later. */
     public enum RetryAdvice {
         /** The session has ended for good. */
         GONE,
@@ -41,7 +41,7 @@
         this.retryAdvice = retryAdvice;
     }
 
-    /** Advice for a player that requests more segments. */
+    /** What a player that requests more segments of the ended session is told about a retry. */
     public RetryAdvice retryAdvice() {
         return retryAdvice;
     }
--- a/node/src/main/java/spanrill/node/FrontNode.java
+++ b/node/src/main/java/spanrill/node/FrontNode.java
@@ -229,7 +229,8 @@
                         host.openRequests(),
                         host.movingSessions() + servers.poolsWithPendingReleases(),
                         viewers.hasUnflushed() || servers.hasUnflushed()))) {
-            // Input that has arrived is read first, so that no unread request crosses the end of its connection.
+            // Input that has arrived is read before the connections drain, so that no request is left unread when its
+            // connection closes.
             case DRAIN ->
                 nextIteration.execute(() -> drain(stopRequestedAt + shutdown.answerDeadlineMs(), NO_ACCEPTED_COUNT));
             case END -> {
--- a/node/src/main/java/spanrill/node/client/ClientListener.java
+++ b/node/src/main/java/spanrill/node/client/ClientListener.java
@@ -49,7 +49,10 @@
     private SessionHost host;
     private ClientConnection lastReleaseLink;
     private long accepted;
-    /** When a shutdown fails the requests still open, on {@link Clock#monotonicMs}; NaN when the node runs. */
+    /**
+     * Time on {@link Clock#monotonicMs} at which requests that are still open fail because the node shuts down; NaN
+     * before a shutdown.
+     */
     private double answerDeadline = Double.NaN;
 
     /**
--- a/node/src/main/java/spanrill/node/server/ConnectionPools.java
+++ b/node/src/main/java/spanrill/node/server/ConnectionPools.java
@@ -128,21 +128,22 @@
     @Override
     public void setUp(Attempt attempt) {
         if (unsent.isEmpty()) {
-            nextIteration.execute(this::send);
+            nextIteration.execute(this::sendQueuedSetUps);
         }
         unsent.add(attempt);
     }
 
-    private void send() {
+    /** Sends the set-ups that were queued before this iteration of the event loop. */
+    private void sendQueuedSetUps() {
         for (Attempt attempt : List.copyOf(unsent)) {
-            // The outcome of one attempt may give up another.
+            // When the outcome of one attempt is reported, the host may give up another, which leaves the queue.
             if (unsent.remove(attempt)) {
                 send(attempt);
             }
         }
         if (!unsent.isEmpty()) {
             // An outcome reported above has added an attempt, which waits for the next iteration as well.
-            nextIteration.execute(this::send);
+            nextIteration.execute(this::sendQueuedSetUps);
         }
     }
 
--- a/session/src/main/java/spanrill/session/SessionCore.java
+++ b/session/src/main/java/spanrill/session/SessionCore.java
@@ -196,7 +196,7 @@
 
     @Override
     public void send(String moduleRequestId, double until, String server) {
-        lifecycle.send(table.findByModuleRequest(moduleRequestId), until, server);
+        lifecycle.sendSetUp(table.findByModuleRequest(moduleRequestId), until, server);
     }
 
     @Override
--- a/session/src/main/java/spanrill/session/SessionLifecycle.java
+++ b/session/src/main/java/spanrill/session/SessionLifecycle.java
@@ -180,9 +180,9 @@
 
     // ---- attempts
 
-    /** Sends an attempt to the box that the module chose. */
-    void send(Session session, double until, String box) {
-        attempts.send(session, until, box);
+    /** Sends a set-up of the session to the box that the module chose. The attempt times out at {@code timeoutAt}. */
+    void sendSetUp(Session session, double timeoutAt, String box) {
+        attempts.send(session, timeoutAt, box);
     }
 
     /** Sets the rung that the module chose. */
--- a/session/src/main/java/spanrill/session/ViewerCall.java
+++ b/session/src/main/java/spanrill/session/ViewerCall.java
@@ -22,7 +22,7 @@
     enum UnusableReason {
         /** The session of the token has ended. */
         USED,
-        /** The maximum number of tokens is remembered. The viewer may try again later. */
+        /** This front already remembers as many tokens as it may. The viewer may try again later. */
         NO_ROOM,
         /** The title is not in this front's catalogue. */
         NO_TITLE,
--- a/soak/src/main/java/spanrill/soak/DrainChecker.java
+++ b/soak/src/main/java/spanrill/soak/DrainChecker.java
@@ -10,7 +10,10 @@
 final class DrainChecker {
     /** Grace period of the settings, tolerance of the protocol and possible delay of the peers' event loop, ms. */
     private static final double GRACE_PERIOD_MS = 250 + 50 + 30;
-    /** A node counts as informed this long after discovery cut its event streams, ms. */
+    /**
+     * A node counts as informed of the changes of server state this long after discovery closed its event streams,
+     * because it must have reconnected by then, ms.
+     */
     private static final double INFORMED_AFTER_CUT_MS = 2000;
     /** A node counts as informed this long after its event streams stopped sending, ms. */
     private static final double INFORMED_AFTER_FREEZE_MS = 4000;
