--- a/check/src/main/java/spanrill/check/AttemptIndex.java
+++ b/check/src/main/java/spanrill/check/AttemptIndex.java
@@ -128,7 +128,7 @@
         return byKey.get(key);
     }
 
-    /** True when the box was mute, towards all fronts or one hall, at any time in the interval. */
+    /** True when the box neither read nor wrote, towards all fronts or one hall, at any time in the interval. */
     boolean wasBoxMute(String box, double fromMs, double toMs) {
         return overlapMs(boxMutePeriods.getOrDefault(box, List.of()), fromMs, toMs) > 0;
     }
--- a/check/src/main/java/spanrill/check/PlacementLimitsRule.java
+++ b/check/src/main/java/spanrill/check/PlacementLimitsRule.java
@@ -23,7 +23,7 @@
     public Verdict evaluate(TraceEvent.RunParameters parameters, List<TraceEvent> events, AttemptIndex attempts) {
         Verdict verdict = new Verdict(5, "cold boxes, floors and seats are kept");
         checkFloors(verdict, parameters, events, attempts);
-        checkSeats(verdict, parameters, attempts);
+        checkSessionsPerTitle(verdict, parameters, attempts);
         checkColdStarts(verdict, parameters, events);
         return verdict;
     }
@@ -72,7 +72,9 @@
         }
     }
 
-    private static void checkSeats(Verdict verdict, TraceEvent.RunParameters parameters, AttemptIndex attempts) {
+    /** Checks that no front holds more sessions of one title and class than the class has seats (0: no limit). */
+    private static void checkSessionsPerTitle(
+            Verdict verdict, TraceEvent.RunParameters parameters, AttemptIndex attempts) {
         Map<String, List<Attempt>> activeByKey = new HashMap<>();
         for (Attempt attempt : attempts.all()) {
             TraceEvent.SetUp setUp = attempt.setUp;
--- a/cli/src/main/java/spanrill/cli/ModelCommand.java
+++ b/cli/src/main/java/spanrill/cli/ModelCommand.java
@@ -134,7 +134,7 @@
                     "fronts");
             for (Forecast.Step step : forecast.steps()) {
                 String not = step.placeUtilization() > 1 ? "  too few places" : "";
-                not += step.floorUtilization() > 1 ? "  even floors don't fit" : "";
+                not += step.floorRungUtilization() > 1 ? "  even floors don't fit" : "";
                 out.printf(
                         Locale.ROOT,
                         "%8.0f %7.1f %9d %7.0f %10.1f %9.1f %10.1f %9.1f %7d%s%n",
--- a/cli/src/test/java/spanrill/cli/RehearseTest.java
+++ b/cli/src/test/java/spanrill/cli/RehearseTest.java
@@ -168,7 +168,9 @@
                         folder.resolve("emulated").resolve("tap.jsonl"),
                         folder.resolve("again").resolve("tap.jsonl")));
         Path broken = folder.resolve("Control.java");
-        Files.writeString(broken, Files.readString(text).replace("double TARGET_UTILIZATION = 0.88;", "double TARGET_UTILIZATION = ;"));
+        Files.writeString(
+                broken,
+                Files.readString(text).replace("double TARGET_UTILIZATION = 0.88;", "double TARGET_UTILIZATION = ;"));
         CommandLineOutput told = run("emulate", first, "--module", broken.toString());
         assertEquals(Exit.BAD_INPUT, told.code());
         assertTrue(told.text().contains("Control.java:") && told.text().contains("illegal start"), told.text());
--- a/day/src/main/java/spanrill/day/Day.java
+++ b/day/src/main/java/spanrill/day/Day.java
@@ -152,7 +152,7 @@
             @Range(min = 0) double stall,
             @Range(min = 0) double changeCostMs) {}
 
-    /** Parameters of the rules, as in the settings of the front. */
+    /** Parameters of the placement rules. The fronts get them as settings; the checks use several as limits. */
     public record Rules(
             @Default("5") int maxAttempts,
             @Default("2000") double maxRetryAfterMs,
--- a/day/src/main/java/spanrill/day/Forecast.java
+++ b/day/src/main/java/spanrill/day/Forecast.java
@@ -45,7 +45,7 @@
          * Returns the demand at the floor rungs divided by the rack capacity. Above 1 some viewers have to be refused
          * under any policy.
          */
-        public double floorUtilization() {
+        public double floorRungUtilization() {
             return uplinksKbytesPerS > 0
                     ? floorKbytesPerS / uplinksKbytesPerS
                     : sessions > 0 ? Double.POSITIVE_INFINITY : 0;
--- a/day/src/test/java/spanrill/day/ForecastTest.java
+++ b/day/src/test/java/spanrill/day/ForecastTest.java
@@ -46,7 +46,7 @@
             assertEquals(10_000, step.linksKbytesPerS(), 1e-6);
             assertEquals(5000, step.uplinksKbytesPerS(), 1e-6);
             assertEquals(200, step.places());
-            assertTrue(step.floorUtilization() > 4, "floor rungs demand 40 MB/s of a capacity of 5 MB/s");
+            assertTrue(step.floorRungUtilization() > 4, "floor rungs demand 40 MB/s of a capacity of 5 MB/s");
         }
         assertEquals(0.2, forecast.hottest().share(), 0.03);
         assertEquals(40, forecast.hottest().places());
--- a/front/src/main/java/spanrill/front/FrontSettings.java
+++ b/front/src/main/java/spanrill/front/FrontSettings.java
@@ -143,8 +143,8 @@
     /**
      * The reports of boxes.
      *
-     * @param lateMs delay of notes, ms
-     * @param tellMs time between two notes of link use, ms; 0: no such notes
+     * @param lateMs assumed delay between a measurement on a box and the arrival of its note at the front, ms
+     * @param tellMs interval at which boxes send notes of link and uplink use, ms; 0: they send none
      * @param stall percentage points of worth lost per percentage point of the rate that is not delivered
      * @param changeCostMs cost of a change of rung: the worth of the session in this time, ms
      */
--- a/front/src/main/java/spanrill/front/box/BoxConnectionPool.java
+++ b/front/src/main/java/spanrill/front/box/BoxConnectionPool.java
@@ -14,7 +14,7 @@
 final class BoxConnectionPool {
     /** A request for a connection. */
     interface ConnectionRequest {
-        /** Called with a connection. Returns false when it is no longer needed. */
+        /** Offers a connection. Returns true if the request takes it, false if the request has already ended. */
         boolean onConnection(HttpClientConnection connection);
 
         /** Called when no connection could be acquired, with the reason. */
@@ -43,12 +43,12 @@
     /**
      * Acquires a connection.
      *
-     * @param control true for set-ups, rung changes and releases
+     * @param forControl true for set-ups, rung changes and releases, false for media segments
      * @param requireNew true to open a connection instead of reusing one: a refused connect proves that nothing ran
      */
-    void acquire(boolean control, boolean requireNew, ConnectionRequest request) {
+    void acquire(boolean forControl, boolean requireNew, ConnectionRequest request) {
         idle.removeIf(connection -> !connection.isAvailable());
-        switch (policy.choose(control, requireNew ? 0 : idle.size(), open, waiting.size())) {
+        switch (policy.choose(forControl, requireNew ? 0 : idle.size(), open, waiting.size())) {
             case REUSE -> {
                 HttpClientConnection connection = idle.pollLast();
                 if (!request.onConnection(connection)) {
--- a/front/src/main/java/spanrill/front/box/HttpBoxClient.java
+++ b/front/src/main/java/spanrill/front/box/HttpBoxClient.java
@@ -184,14 +184,14 @@
             }
             connection = acquired;
             if (!connection.send(method, target, frontHeaders(), NO_BODY, this)) {
-                finish();
+                completeCall();
             }
             return true;
         }
 
         @Override
         public void onUnavailable(OutcomeTable.Event reason) {
-            finish();
+            completeCall();
         }
 
         @Override
@@ -203,22 +203,23 @@
         public void onEnd() {
             pool.release(connection);
             complete = true;
-            finish();
+            completeCall();
         }
 
         @Override
         public void onFailure(HttpClientConnection.Failure failure, String reason) {
-            finish();
+            completeCall();
         }
 
         void abortOnTimeout() {
             if (!finished && connection != null) {
                 connection.abort();
             }
-            finish();
+            completeCall();
         }
 
-        private void finish() {
+        /** Passes the result to {@code done}, once: the response head if the response is complete, else null. */
+        private void completeCall() {
             if (!finished) {
                 finished = true;
                 ResponseHead head = complete ? receivedHead : null;
--- a/front/src/main/java/spanrill/front/box/SegmentFetch.java
+++ b/front/src/main/java/spanrill/front/box/SegmentFetch.java
@@ -35,6 +35,7 @@
         this.sink = sink;
     }
 
+    /** Sends the segment request. Returns false, without use of the connection, if the fetch has already ended. */
     @Override
     public boolean onConnection(HttpClientConnection acquired) {
         if (finished) {
--- a/front/src/main/java/spanrill/front/dash/DashRequestRouter.java
+++ b/front/src/main/java/spanrill/front/dash/DashRequestRouter.java
@@ -100,7 +100,8 @@
     private void requestManifest(Exchange exchange, String title) {
         double arrivedAt = clock.now();
         String tokenText = tokenOf(exchange);
-        // The class is not verified yet: it decides only the request's deadline and worth in the verifier's queue.
+        // The viewer class is read from the token before its signature is verified. Only the deadline and the worth of
+        // the request in the verifier's queue depend on this class.
         String claimedClass = TokenKeys.claimedClass(tokenText);
         FrontSettings.ClassSettings classSettings = settings.classes().get(claimedClass);
         double deadline = classSettings == null
--- a/front/src/main/java/spanrill/front/token/TokenVerifier.java
+++ b/front/src/main/java/spanrill/front/token/TokenVerifier.java
@@ -84,10 +84,11 @@
     }
 
     /**
-     * Verifies a token.
+     * Verifies a token and passes the result to {@code callback}.
      *
      * @param callbackExecutor runs {@code callback}, unless the token is cached: then the callback runs within the call
-     * @return action that removes the request from the queue, for a viewer that disconnects
+     * @return action that cancels the verification while the request waits in the queue, for a viewer that disconnects;
+     *     it has no effect later
      */
     public Runnable verify(
             VerificationRequest request, Executor callbackExecutor, Consumer<VerificationResult> callback) {
--- a/model/src/main/java/spanrill/model/player/AbandonmentModel.java
+++ b/model/src/main/java/spanrill/model/player/AbandonmentModel.java
@@ -41,8 +41,8 @@
         return stallMs > MAX_STALL_MS || random.nextDouble() < 1 - Math.exp(-hazard * elapsedMs / 1000);
     }
 
-    /** Returns the smoothed delivered share. */
-    public double smoothedShare() {
+    /** Returns the smoothed share of the media rate that was delivered, 0 to 1. */
+    public double smoothedDeliveredShare() {
         return share;
     }
 }
--- a/model/src/main/java/spanrill/model/player/Player.java
+++ b/model/src/main/java/spanrill/model/player/Player.java
@@ -14,7 +14,7 @@
     private static final double RESUME_BUFFER_MS = 1500;
     private static final int THROUGHPUT_WINDOW_SEGMENTS = 5;
     private static final double THROUGHPUT_SAFETY_FACTOR = 0.9;
-    /** A viewer with less time left than this does not send another request. */
+    /** No further session is requested when less than this would remain of the planned viewing time. */
     private static final double MIN_REMAINING_MS = 1000;
 
     /** What the caller has to do next. */
--- a/model/src/test/java/spanrill/model/DistributionsTest.java
+++ b/model/src/test/java/spanrill/model/DistributionsTest.java
@@ -88,7 +88,7 @@
                         before = sum;
                         sum += t == 0
                                 ? 0
-                                : hazardPerS * Math.max(0, 0.75 - abandonment.smoothedShare()) * stepMs / 1000;
+                                : hazardPerS * Math.max(0, 0.75 - abandonment.smoothedDeliveredShare()) * stepMs / 1000;
                         if (leaves) {
                             double within = RandomStreams.of(91 + (long) i).nextDouble();
                             return 1 - Math.exp(-(before + within * (sum - before)));
--- a/results/src/main/java/spanrill/results/ShareCheck.java
+++ b/results/src/main/java/spanrill/results/ShareCheck.java
@@ -40,7 +40,10 @@
      * @param modelVsRule the model's grants against the rule recomputed from rows, in seconds without a change
      */
     public record Result(Errors receivedVsRule, Errors receivedVsModel, Errors modelVsRule) {
-        /** True when rows were compared and, for received bytes, medians are below 2% and 95th percentiles below 5%. */
+        /**
+         * True when rows were compared and, in both comparisons of received bytes, the median of the absolute relative
+         * errors is below 2% and their 95th percentile is below 5%.
+         */
         public boolean passed() {
             return receivedVsRule.count() > 0
                     && receivedVsRule.median() < 0.02
--- a/standin/src/main/java/spanrill/standin/box/LoadReporter.java
+++ b/standin/src/main/java/spanrill/standin/box/LoadReporter.java
@@ -59,7 +59,10 @@
                 sent);
     }
 
-    /** Reports the delivered share, on one session of each front. Called each second. */
+    /**
+     * Reports to each front, with a note on one session, which share of the requested media rate the box delivers.
+     * Called each second. Sends only while the share is below {@link #SHORT_SHARE}, and once after it recovers.
+     */
     void reportDeliveredShare(Collection<BoxSession> sessions, Predicate<BoxSession> isActive) {
         Set<Integer> reportedFronts = new HashSet<>();
         for (BoxSession session : sessions) {
--- a/standin/src/main/java/spanrill/standin/box/StandinBox.java
+++ b/standin/src/main/java/spanrill/standin/box/StandinBox.java
@@ -417,7 +417,7 @@
         recorder.record(new TraceEvent.AttemptEnded(recorder.nowMs(), key, reason));
     }
 
-    /** Reports the delivered share to the fronts. Called each second. */
+    /** Reports to the fronts which share of the requested media rate the box delivers. Called each second. */
     void reportDeliveredShare() {
         loadReporter.reportDeliveredShare(sessions.values(), this::isProcessRunning);
     }
--- a/standin/src/main/java/spanrill/standin/box/UnshapedBox.java
+++ b/standin/src/main/java/spanrill/standin/box/UnshapedBox.java
@@ -56,7 +56,10 @@
         return String.valueOf(exchange.head().headers().get(BoxLink.FRONT));
     }
 
-    /** Sends a note each second, on the front's last attempt, that link and uplink have a use of 0.1. */
+    /**
+     * Sends one link note and one uplink note each second, for the attempt that the front started most recently. The
+     * use is always 0.1: this box has no link limits against which a use could be measured.
+     */
     private void sendNotesEachSecond(Exchange stream, String front) {
         stream.channel()
                 .eventLoop()
--- a/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
+++ b/standin/src/main/java/spanrill/standin/registry/StandinRegistry.java
@@ -30,7 +30,7 @@
     private static final long POLL_TIMEOUT_MS = 20_000;
 
     /** The entries and changes that have been published to one front. */
-    private static final class View {
+    private static final class FrontView {
         private final Map<String, Entry> boxes = new LinkedHashMap<>();
         private final List<Entry> log = new ArrayList<>();
         private Exchange pendingPoll;
@@ -45,7 +45,7 @@
     private final UniformRandomProvider random;
     private final ArrayNode titles = json.createArrayNode();
     private final Map<String, Entry> currentEntries = new LinkedHashMap<>();
-    private final Map<Integer, View> views = new HashMap<>();
+    private final Map<Integer, FrontView> views = new HashMap<>();
     private Channel server;
 
     /** Creates a registry; {@link #listen} starts it. */
@@ -100,7 +100,7 @@
     /** Changes the entry of a box. Each front receives it after a delay drawn from the range. On the loop. */
     public void updateBox(Entry box, List<Double> delayRangeMs) {
         currentEntries.put(box.id(), box);
-        for (View view : views.values()) {
+        for (FrontView view : views.values()) {
             loop.schedule(
                     () -> publish(view, box),
                     (long) RandomStreams.uniform(random, delayRangeMs),
@@ -113,7 +113,7 @@
         return currentEntries.get(id);
     }
 
-    private void publish(View view, Entry box) {
+    private void publish(FrontView view, Entry box) {
         Entry previous = view.boxes.get(box.id());
         if (previous != null && previous.startedAt() > box.startedAt()) {
             // The entry of a later process has been published first: the end of the earlier process is obsolete.
@@ -122,7 +122,7 @@
         view.boxes.put(box.id(), box);
         view.log.add(box);
         if (view.pendingPoll != null) {
-            answer(view);
+            respondToPoll(view);
         }
     }
 
@@ -138,8 +138,8 @@
             return;
         }
         int number = Integer.parseInt(front);
-        View view = views.computeIfAbsent(number, n -> {
-            View created = new View();
+        FrontView view = views.computeIfAbsent(number, n -> {
+            FrontView created = new FrontView();
             created.boxes.putAll(currentEntries);
             return created;
         });
@@ -151,7 +151,7 @@
         view.pendingPoll = exchange;
         view.pendingVersion = sameEpoch ? Long.parseLong(version) : -1;
         if (view.pendingVersion < view.log.size()) {
-            answer(view, number);
+            respondToPoll(view, number);
             return;
         }
         view.timeout = loop.schedule(
@@ -163,22 +163,23 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private static void cancelTimeout(View view) {
+    private static void cancelTimeout(FrontView view) {
         if (view.timeout != null) {
             view.timeout.cancel(false);
             view.timeout = null;
         }
     }
 
-    private void answer(View view) {
+    /** Answers the pending poll of the front that the view belongs to: with all boxes or with the changes. */
+    private void respondToPoll(FrontView view) {
         views.forEach((number, candidate) -> {
             if (candidate == view) {
-                answer(view, number);
+                respondToPoll(view, number);
             }
         });
     }
 
-    private void answer(View view, int front) {
+    private void respondToPoll(FrontView view, int front) {
         cancelTimeout(view);
         Exchange exchange = view.pendingPoll;
         view.pendingPoll = null;
--- a/standin/src/main/java/spanrill/standin/viewer/ResponseReader.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ResponseReader.java
@@ -60,7 +60,8 @@
         return body.toString(StandardCharsets.UTF_8);
     }
 
-    void ignore() {
+    /** Prevents all further callbacks for this response. Its remaining bytes are still counted. */
+    void suppressCallbacks() {
         finished = true;
     }
 
--- a/standin/src/main/java/spanrill/standin/viewer/Viewer.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Viewer.java
@@ -355,7 +355,7 @@
             if (next == null) {
                 schedulePatienceCheck(reader);
             } else {
-                reader.ignore();
+                reader.suppressCallbacks();
                 awaitingSegment = false;
                 connection.abort();
                 stats.sessionsAbandoned.increment();
