--- a/cli/src/main/java/spanrill/cli/MeasureBench.java
+++ b/cli/src/main/java/spanrill/cli/MeasureBench.java
@@ -104,7 +104,8 @@
         EventLoop loop = viewers.next();
         for (int i = 0; i < 200; i++) {
             CompletableFuture<String> done = new CompletableFuture<>();
-            SetUpProbe.ask(loop, address(), "title", token("r" + i), done::complete, done::completeExceptionally);
+            SetUpProbe.requestSession(
+                    loop, address(), "title", token("r" + i), done::complete, done::completeExceptionally);
             try {
                 if (done.handle((base, fault) -> fault == null).get(10, TimeUnit.SECONDS)) {
                     return;
--- a/cli/src/main/java/spanrill/cli/MeasureCommand.java
+++ b/cli/src/main/java/spanrill/cli/MeasureCommand.java
@@ -170,7 +170,7 @@
             String token = tokens.get(i);
             long due = System.nanoTime() + (long) (i / perS * 1e9);
             loop.schedule(
-                    () -> SetUpProbe.ask(
+                    () -> SetUpProbe.requestSession(
                             loop,
                             bench.address(),
                             "title",
--- a/core/src/main/java/spanrill/Control.java
+++ b/core/src/main/java/spanrill/Control.java
@@ -29,8 +29,8 @@
 public final class Control implements SessionControl {
     // Weight of link load (J in the paper). SL is a share of the link, so 1 makes a full link the unit of PI.
     private static final double LOAD_WEIGHT = 1;
-    // Weight of set-up delay (K in the paper). NS is the delay divided by the class's aim, so a delay of one whole aim
-    // weighs as much as a fifth of a link.
+    // Weight of set-up delay (K in the paper). NS is the delay divided by the class's set-up time target
+    // (aim), so a delay of one whole target weighs as much as a fifth of a link.
     private static final double SET_UP_DELAY_WEIGHT = 0.2;
     // Weight of the session's rung (H in the paper). FWI is equal for all holders, so it only raises SO a little for
     // heavy sessions.
@@ -69,7 +69,8 @@
     // Utilization measured above a full link stays in SL as a penalty that falls to 0 over this time, so that an
     // overloaded link is filled again only slowly.
     private static final double OVERLOAD_PENALTY_DECAY_MS = 15_000;
-    // An attempt that may be retried elsewhere times out after this share of the class's aim.
+    // An attempt that may be retried elsewhere times out after this share of the class's set-up time
+    // target (aim).
     private static final double ATTEMPT_TIMEOUT_SHARE = 0.6;
     // A server that failed is avoided for this long, doubled with each further failure up to the maximum.
     private static final double INITIAL_AVOID_MS = 2000;
@@ -83,7 +84,8 @@
     // After this front's own start or a server's failure, a server may have restarted without the list showing it yet.
     // The list shows a restart within this time.
     private static final double UNLISTED_RESTART_MS = 3000;
-    // A request waits for the next permitted set-up at a cold server for up to this share of its aim.
+    // A request waits for the next permitted set-up at a cold server for up to this share of its class's set-up time
+    // target (aim).
     private static final double MAX_WAIT_SHARE = 0.7;
     private static final double RETRY_AFTER_MS = 1000;
     private static final double SWEEP_INTERVAL_MS = 250;
@@ -177,8 +179,11 @@
             return Math.max(0, blended + changesSince(age == 1 ? now - ESTIMATE_EXPIRY_MS : estimateAt));
         }
 
-        /** Total load over this front's load: all fronts react to the same measurement in proportion to their load. */
-        double totalOverOwn(double utilization, int fronts) {
+        /**
+         * Returns the ratio of the link's total load to this front's part of it, from 1 to twice the number of fronts.
+         * All fronts react to the same measurement in proportion to their load.
+         */
+        double totalToOwnLoadRatio(double utilization, int fronts) {
             return Math.min(Math.max(utilization * capacity / Math.max(ownKbPerS, 1), 1), 2.0 * fronts);
         }
     }
@@ -277,7 +282,8 @@
                 holder.meanShortfall = 0;
             }
             if (isNew && now - frontStartedAt < UNLISTED_RESTART_MS) {
-                // The list may have been kept from before this front's own start: any server on it may be cold.
+                // The list may be a stored one from before this front's start, and a server on it may have restarted
+                // since. Until the list would show such a restart, each server on it is treated as cold.
                 holder.coldUntil = Math.max(holder.coldUntil, frontStartedAt + UNLISTED_RESTART_MS);
             }
         }
@@ -557,7 +563,7 @@
             if (!isUsable(now, holder, session)) {
                 continue;
             }
-            double waitMs = coldWaitMs(now, holder);
+            double waitMs = timeToNextColdSetUpMs(now, holder);
             if (waitMs > 0) {
                 shortestWaitMs = Math.min(shortestWaitMs, waitMs);
                 continue;
@@ -842,7 +848,8 @@
             load.addChange(
                     now,
                     ownChange,
-                    expectedChange * load.totalOverOwn(load.utilization(now, averageUtilization), settings.fronts()));
+                    expectedChange
+                            * load.totalToOwnLoadRatio(load.utilization(now, averageUtilization), settings.fronts()));
             load.steppedDownAt = chosenRung < session.rung ? now : load.steppedDownAt;
         }
         if (chosenRung != session.rung) {
@@ -859,7 +866,7 @@
         for (LinkLoad load : List.of(session.holder.link, session.holder.rack.uplink)) {
             double utilization = load.utilization(now, averageUtilization);
             double added = (kbPerS(session.type, rung) - session.kbPerS)
-                    * load.totalOverOwn(utilization, settings.fronts())
+                    * load.totalToOwnLoadRatio(utilization, settings.fronts())
                     / load.capacity;
             maxUtilization = Math.max(maxUtilization, load.isFresh(now) ? utilization + added : 0);
         }
@@ -914,7 +921,8 @@
                 continue;
             }
             List<Holder> others = holdersOf(session.request);
-            others.removeIf(other -> other != holder && (!isUsable(now, other, session) || coldWaitMs(now, other) > 0));
+            others.removeIf(other ->
+                    other != holder && (!isUsable(now, other, session) || timeToNextColdSetUpMs(now, other) > 0));
             others.sort(Comparator.comparingDouble(other -> placementIndex(now, other, session)));
             Holder target =
                     others.stream().filter(other -> other != holder).findFirst().orElse(null);
@@ -998,11 +1006,12 @@
     // ---- cold pacing
 
     /**
-     * Time until this front may send a cold server its next set-up. The fronts share the server's budget without
-     * communicating: each uses a fixed part of it within any window. Where that part is less than one set-up, the
-     * window is longer, and its start is drawn at random within the first window.
+     * Returns the time until this front may send a cold server its next set-up, ms; 0 where the server is warm and has
+     * not failed. The fronts share the server's budget without communicating: each uses a fixed part of it within any
+     * window. Where that part is less than one set-up, the window is longer, and its start is drawn at random within
+     * the first window.
      */
-    private double coldWaitMs(double now, Holder holder) {
+    private double timeToNextColdSetUpMs(double now, Holder holder) {
         if (now >= holder.coldUntil && holder.failures == 0) {
             return 0;
         }
--- a/core/src/main/java/spanrill/SessionControl.java
+++ b/core/src/main/java/spanrill/SessionControl.java
@@ -94,7 +94,8 @@
      *
      * @param name name of the tenant
      * @param share share of the service that the tenant is entitled to
-     * @param quotaPerS new sessions a second over all fronts that count as within the share; NaN: unlimited
+     * @param quotaPerS new sessions per second, summed over all fronts, up to which the tenant's sessions
+     *     count as within its share; NaN: unlimited
      */
     record Tenant(String name, double share, double quotaPerS) {}
 
--- a/front/src/main/java/spanrill/front/FrontSettings.java
+++ b/front/src/main/java/spanrill/front/FrontSettings.java
@@ -158,7 +158,7 @@
      * Parameters of the placement rules.
      *
      * @param maxAttempts maximum number of set-up attempts for one request
-     * @param maxRetryAfterMs longest retry delay that viewers observe, ms
+     * @param maxRetryAfterMs longest retry delay that viewers obey, ms; no refusal asks for a longer one
      * @param crossZonePrice price of a session that crosses zones
      * @param overShareWorth factor of the worth of a session beyond its tenant's share
      * @param drainGraceMs new sessions must not start on a box later than this after its drain was received, ms
--- a/front/src/main/java/spanrill/front/box/SetUpAttempt.java
+++ b/front/src/main/java/spanrill/front/box/SetUpAttempt.java
@@ -90,6 +90,7 @@
         }
     }
 
+    /** Handles the end of the box's response; the attempt fails when the response held no media byte. */
     @Override
     public void onEnd() {
         pool.release(connection);
--- a/front/src/main/java/spanrill/front/dash/ManifestCall.java
+++ b/front/src/main/java/spanrill/front/dash/ManifestCall.java
@@ -55,6 +55,7 @@
                 0);
     }
 
+    /** Responds with a problem, because the token or the title of the request can't be used now. */
     @Override
     public void onUnusable(ViewerCall.UnusableReason reason) {
         switch (reason) {
--- a/front/src/main/java/spanrill/front/dash/SegmentRelay.java
+++ b/front/src/main/java/spanrill/front/dash/SegmentRelay.java
@@ -158,6 +158,7 @@
         exchange.end();
     }
 
+    /** Handles the failed transfer of the segment; {@code status} is the box's status, 0 when there was no answer. */
     @Override
     public void onLost(int status, String reason) {
         transfer = null;
--- a/session/src/main/java/spanrill/session/SessionType.java
+++ b/session/src/main/java/spanrill/session/SessionType.java
@@ -3,7 +3,7 @@
 import spanrill.decisions.AnswerDeadline;
 
 /**
- * A class of session, as the core and the viewer sides need it.
+ * A class of session, as the session core and the viewer protocols (such as DASH) need it.
  *
  * @param once true when a session is paid for at set-up and must be set up at most once
  * @param floor lowest rung
--- a/session/src/main/java/spanrill/session/ViewerRequest.java
+++ b/session/src/main/java/spanrill/session/ViewerRequest.java
@@ -1,7 +1,7 @@
 package spanrill.session;
 
 /**
- * A viewer's request for a session, as a viewer side read it from a verified token.
+ * A viewer's request for a session, as the viewer protocol (such as DASH) read it from a verified token.
  *
  * @param tokenId id of the token, which identifies the request
  * @param arrivedAt time at which the request was read, ms of the front's clock; the viewer's patience starts then
--- a/standin/src/main/java/spanrill/standin/box/StandinBox.java
+++ b/standin/src/main/java/spanrill/standin/box/StandinBox.java
@@ -102,7 +102,7 @@
         return zone;
     }
 
-    /** Returns the number of the cell, which is the index of the box in its fleet. */
+    /** Returns the number of the cell. Each box is a cell of its own: the number is its index in the fleet. */
     public int cell() {
         return cell;
     }
@@ -419,16 +419,16 @@
 
     /** Reports to the fronts which share of the requested media rate the box delivers. Called each second. */
     void reportDeliveredShare() {
-        loadReporter.reportDeliveredShare(sessions.values(), this::isProcessRunning);
+        loadReporter.reportDeliveredShare(sessions.values(), this::isHostingProcessRunning);
     }
 
     /** Reports the use of link and uplink to the fronts. Called at the day's report interval. */
     void reportLinkUse() {
-        loadReporter.reportLinkUse(sessions.values(), this::isProcessRunning);
+        loadReporter.reportLinkUse(sessions.values(), this::isHostingProcessRunning);
     }
 
-    /** Returns true while the process that set the session up runs, whether or not the session still plays. */
-    private boolean isProcessRunning(BoxSession session) {
+    /** Returns true while the box process that set up the session runs, whether or not the session still plays. */
+    private boolean isHostingProcessRunning(BoxSession session) {
         return session.process == processModel && server != null;
     }
 
--- a/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
+++ b/standin/src/main/java/spanrill/standin/viewer/SetUpProbe.java
@@ -13,13 +13,16 @@
 public final class SetUpProbe {
     private SetUpProbe() {}
 
-    /** Sends a request; one of the two callbacks is called, on the loop. */
-    public static void ask(
+    /**
+     * Requests a session of a title from a front. On the loop, calls {@code onSegmentBaseUrl} with the base URL from
+     * the session's MPD, or {@code onFailure}.
+     */
+    public static void requestSession(
             EventLoop loop,
             InetSocketAddress front,
             String title,
             String token,
-            Consumer<String> onPlays,
+            Consumer<String> onSegmentBaseUrl,
             Consumer<Throwable> onFailure) {
         HttpClientConnection.open(
                 loop,
@@ -35,7 +38,8 @@
                             return;
                         }
                         try {
-                            onPlays.accept(MpdParser.parse(response.text()).baseUrl());
+                            onSegmentBaseUrl.accept(
+                                    MpdParser.parse(response.text()).baseUrl());
                         } catch (InvalidMpdException fault) {
                             onFailure.accept(fault);
                         }
--- a/standin/src/main/java/spanrill/standin/viewer/Viewer.java
+++ b/standin/src/main/java/spanrill/standin/viewer/Viewer.java
@@ -191,8 +191,11 @@
                 cause -> onFailure.run());
     }
 
-    /** Sends the request on a connection. The answer to a duplicate (not {@code first}) is only recorded. */
-    private long sendRequest(HttpClientConnection target, boolean first) {
+    /**
+     * Sends the session request on a connection and returns its number in the trace. The answer to a duplicate (not
+     * {@code original}) is only recorded and counted.
+     */
+    private long sendRequest(HttpClientConnection target, boolean original) {
         long number = REQUEST_NUMBERS.incrementAndGet();
         context.recorder()
                 .record(new TraceEvent.Request(
@@ -208,7 +211,7 @@
                         .record(new TraceEvent.Answer(
                                 now(), number, reader[0].head().status(), answerOf(reader[0].head()))),
                 (head, response) -> {
-                    if (first) {
+                    if (original) {
                         onAnswer(head, response, requestedAt);
                     } else {
                         onDuplicateAnswer(target, number, head);
--- a/standin/src/main/java/spanrill/standin/viewer/ViewerStats.java
+++ b/standin/src/main/java/spanrill/standin/viewer/ViewerStats.java
@@ -45,7 +45,7 @@
             case "plays" -> plays.increment();
             case "refused" -> refused.increment();
             case "failed" -> failed.increment();
-            // Other answers are found in the recorded events.
+            // Any other word, such as "none", is not counted; the trace records every answer.
             default -> {}
         }
     }
